--- a/hillfield/charts/__init__.py
+++ b/hillfield/charts/__init__.py
@@ -6,15 +6,20 @@
     parse_chart,
     read_chart,
 )
-from hillfield.charts.steps import BoundStep, ChartError, Refusal, Step
+from hillfield.charts.transitions import (
+    BoundTransition,
+    ChartError,
+    Refusal,
+    Transition,
+)
 
 __all__ = (
     'BoundChart',
-    'BoundStep',
+    'BoundTransition',
     'Chart',
     'ChartError',
     'Refusal',
-    'Step',
+    'Transition',
     'parse_chart',
     'read_chart',
 )
--- a/hillfield/charts/charts.py
+++ b/hillfield/charts/charts.py
@@ -10,13 +10,13 @@
 from expression import Error, Ok, Result
 from msgspec import Struct
 
-from hillfield.charts.steps import (
+from hillfield.charts.transitions import (
     Actions,
-    BoundStep,
+    BoundTransition,
     ChartError,
     Refusal,
     States,
-    Step,
+    Transition,
 )
 
 Triggers = TypeVar('Triggers', bound=StrEnum)
@@ -27,15 +27,17 @@
     """Follow a chart in the caller's own types."""
 
     initial: States
-    steps: Mapping[tuple[States, Triggers], BoundStep[States, Actions]]
+    transitions: Mapping[
+        tuple[States, Triggers], BoundTransition[States, Actions]
+    ]
 
     def follow(
         self,
         state: States,
         trigger: Triggers,
-    ) -> BoundStep[States, Actions] | Refusal:
+    ) -> BoundTransition[States, Actions] | Refusal:
         """Return the step that the trigger causes, or a refusal."""
-        step = self.steps.get((state, trigger))
+        step = self.transitions.get((state, trigger))
         return Refusal(state, trigger) if step is None else step
 
 
@@ -49,18 +51,18 @@
     ... [states.open]
     ... ''').ok
     >>> chart.follow('closed', 'push')
-    Step(state='open', action='ring')
+    Transition(state='open', action='ring')
     >>> chart.follow('open', 'push')
     Refusal(state='open', trigger='push')
     """
 
     initial: str
     states: frozenset[str]
-    steps: Mapping[tuple[str, str], Step]
+    transitions: Mapping[tuple[str, str], Transition]
 
-    def follow(self, state: str, trigger: str) -> Step | Refusal:
+    def follow(self, state: str, trigger: str) -> Transition | Refusal:
         """Return the step that the trigger causes, or a refusal."""
-        step = self.steps.get((state, trigger))
+        step = self.transitions.get((state, trigger))
         return Refusal(state, trigger) if step is None else step
 
     def bind(
@@ -74,18 +76,20 @@
         `actions` has a member `none` if any transition names no action.
         """
         _require_same('states', states, self.states)
-        _require_same('triggers', triggers, (key[1] for key in self.steps))
+        _require_same(
+            'triggers', triggers, (key[1] for key in self.transitions)
+        )
         _require_same(
             'actions',
             actions,
-            (step.action for step in self.steps.values()),
+            (step.action for step in self.transitions.values()),
         )
         steps = {
-            (states(state), triggers(trigger)): BoundStep(
+            (states(state), triggers(trigger)): BoundTransition(
                 states(step.state),
                 actions(step.action),
             )
-            for (state, trigger), step in self.steps.items()
+            for (state, trigger), step in self.transitions.items()
         }
         return BoundChart(states(self.initial), MappingProxyType(steps))
 
@@ -118,17 +122,17 @@
     chart = Chart(
         initial,
         frozenset(tables),
-        MappingProxyType(_collect_steps(tables)),
+        MappingProxyType(_collect_transitions(tables)),
     )
-    fault = _find_fault(chart)
+    fault = _find_error(chart)
     return Error(fault) if fault else Ok(chart)
 
 
-def _collect_steps(
+def _collect_transitions(
     tables: Mapping[str, Mapping[str, Any]],
-) -> dict[tuple[str, str], Step]:
+) -> dict[tuple[str, str], Transition]:
     return {
-        (state, trigger): Step(
+        (state, trigger): Transition(
             str(arrow.get('to', state)),
             str(arrow.get('action', NO_ACTION)),
         )
@@ -137,25 +141,27 @@
     }
 
 
-def _find_fault(chart: Chart) -> str:
-    named = {step.state for step in chart.steps.values()} | {chart.initial}
+def _find_error(chart: Chart) -> str:
+    named = {step.state for step in chart.transitions.values()} | {
+        chart.initial
+    }
     unknown = named - chart.states
     if unknown:
         return _list_names('unknown states', unknown)
-    unreachable = chart.states - _reach(chart)
+    unreachable = chart.states - _find_reachable(chart)
     if unreachable:
         return _list_names('unreachable states', unreachable)
     return ''
 
 
-def _reach(chart: Chart) -> set[str]:
+def _find_reachable(chart: Chart) -> set[str]:
     reached = {chart.initial}
     size = 0
     while size < len(reached):
         size = len(reached)
         reached |= {
             step.state
-            for (state, _), step in chart.steps.items()
+            for (state, _), step in chart.transitions.items()
             if state in reached
         }
     return reached
--- a/hillfield/charts/tests/test_charts.py
+++ b/hillfield/charts/tests/test_charts.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hillfield.charts import (
-    BoundStep,
+    BoundTransition,
     ChartError,
     Refusal,
     parse_chart,
@@ -39,7 +39,7 @@
 def test_bound_chart_answers_in_the_callers_types():
     chart = parse_chart(DOOR).ok.bind(DoorState, DoorTrigger, DoorAction)
     step = chart.follow(chart.initial, DoorTrigger.PUSH)
-    assert step == BoundStep(DoorState.OPEN, DoorAction.RING)
+    assert step == BoundTransition(DoorState.OPEN, DoorAction.RING)
     refusal = chart.follow(chart.initial, DoorTrigger.PULL)
     assert refusal == Refusal('closed', 'pull')
 
--- a/hillfield/charts/steps.py
+++ b/hillfield/charts/transitions.py
@@ -13,7 +13,7 @@
     """Say what is wrong with a chart; it is a fault of the package."""
 
 
-class Step(Struct, frozen=True):
+class Transition(Struct, frozen=True):
     """Hold the state after a transition and the action that goes with it."""
 
     state: str
@@ -27,8 +27,8 @@
     trigger: str
 
 
-class BoundStep(Struct, Generic[States, Actions], frozen=True):
-    """Hold a `Step` in the caller's own types."""
+class BoundTransition(Struct, Generic[States, Actions], frozen=True):
+    """Hold a `Transition` in the caller's own types."""
 
     state: States
     action: Actions
--- a/hillfield/detection/announcing.py
+++ b/hillfield/detection/announcing.py
@@ -5,13 +5,13 @@
 from hillfield.detection.health import Health, HealthTrigger
 from hillfield.detection.latencies import classify_distance
 from hillfield.detection.records import TargetRecord
-from hillfield.detection.service import Service
-from hillfield.detection.transitions import follow
+from hillfield.detection.service import ServiceState
+from hillfield.detection.transitions import apply_trigger
 from hillfield.model import Target, TargetState
 
 
 def replace_targets(
-    service: Service,
+    service: ServiceState,
     targets: tuple[Target, ...],
     now: float,
 ) -> None:
@@ -22,22 +22,22 @@
     for target in targets:
         record = known.get(target.id)
         if record is None:
-            record = _greet(service, target, now, first)
+            record = _create_record(service, target, now, first)
         service.records[target.id] = record
-        service.unsettled.add(target.id)
-        service.changed |= record.target != target
+        service.unsettled_targets.add(target.id)
+        service.rotation_outdated |= record.target != target
         record.target = target
         _follow_announcement(service, record, now)
-    service.changed |= service.records.keys() != known.keys()
-    service.alike = Counter(
+    service.rotation_outdated |= service.records.keys() != known.keys()
+    service.targets_by_distance = Counter(
         announced.distance for announced in service.records.values()
     )
     domains = {announced.locality.failure_domain for announced in targets}
-    service.domains = len(domains | {service.locality.failure_domain})
+    service.domain_count = len(domains | {service.locality.failure_domain})
 
 
-def _greet(
-    service: Service,
+def _create_record(
+    service: ServiceState,
     target: Target,
     now: float,
     first: bool,
@@ -46,12 +46,12 @@
     record = TargetRecord(target, now, now, distance)
     if first and target.state is not TargetState.COLD:
         # At a node's start all are new to it: none is to be spared.
-        follow(service, record, HealthTrigger.WARM, now)
+        apply_trigger(service, record, HealthTrigger.WARM, now)
     return record
 
 
 def _follow_announcement(
-    service: Service,
+    service: ServiceState,
     record: TargetRecord,
     now: float,
 ) -> None:
@@ -60,7 +60,7 @@
         return
     record.reason = 'by its own announcement'
     if draining:
-        follow(service, record, HealthTrigger.DRAIN, now)
+        apply_trigger(service, record, HealthTrigger.DRAIN, now)
         return
-    record.announced = now
-    follow(service, record, HealthTrigger.RETURN, now)
+    record.announced_at = now
+    apply_trigger(service, record, HealthTrigger.RETURN, now)
--- a/hillfield/detection/attempts.py
+++ b/hillfield/detection/attempts.py
@@ -9,7 +9,7 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """Hold an attempt that has no answer yet; `overdue` counts limits.
+    """Hold an attempt that has no answer yet; `limits_passed` counts limits.
 
     `aged_from` is the moment from which its age counts: later than its start
     by the seconds in which this node read no answers.
@@ -18,7 +18,7 @@
     target: TargetId
     started: float
     aged_from: float
-    overdue: int = 0
+    limits_passed: int = 0
 
 
 class AttemptsInFlight:
@@ -45,12 +45,12 @@
         """Add an attempt."""
         self._fresh[number] = Attempt(target, now, now)
 
-    def excuse(self, now: float, seconds: float) -> None:
+    def discount_pause(self, now: float, seconds: float) -> None:
         """Leave the last seconds out of the age of each attempt."""
         for attempt in chain.from_iterable(map(dict.values, self._stages)):
             attempt.aged_from = min(now, attempt.aged_from + seconds)
 
-    def take(self, number: int) -> Attempt | None:
+    def remove(self, number: int) -> Attempt | None:
         """Remove and return an attempt."""
         for attempts in self._stages:
             attempt = attempts.pop(number, None)
@@ -85,6 +85,6 @@
         attempt = source[number]
         if attempt.aged_from >= aged_before:
             return
-        attempt.overdue += 1
+        attempt.limits_passed += 1
         sink[number] = source.pop(number)
         passed.append(attempt)
--- a/hillfield/detection/baseline.py
+++ b/hillfield/detection/baseline.py
@@ -11,8 +11,8 @@
 
 from hillfield.detection.evidence import Symptom
 from hillfield.detection.explanations import TargetExplanation
-from hillfield.detection.quiet import QuietBoard
-from hillfield.detection.rotation import Rotation, Standing, build_rotation
+from hillfield.detection.resultdetector import ResultDetector
+from hillfield.detection.rotation import Rotation, TargetStatus, build_rotation
 from hillfield.events import EventCode, Occurrence
 from hillfield.model import (
     Locality,
@@ -43,7 +43,7 @@
     since: float = 0
 
 
-class BaselineBoard(QuietBoard):
+class BaselineBoard(ResultDetector):
     """Eject after fixed consecutive errors for a fixed time."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
@@ -86,7 +86,7 @@
             case ConnectFailed() | Broken() | TimedOut() | Answered():
                 record.errors += 1
         if record.errors >= ERRORS_TO_EJECT:
-            self.occurrences.append(_eject(now, record, 'errors'))
+            self.pending_occurrences.append(_eject(now, record, 'errors'))
             self._rotation = None
             self._now = now
 
@@ -107,7 +107,9 @@
             return
         record.failed_probes += 1
         if record.failed_probes >= PROBES_TO_EJECT:
-            self.occurrences.append(_eject(now, record, 'failed probes'))
+            self.pending_occurrences.append(
+                _eject(now, record, 'failed probes')
+            )
             self._rotation = None
             self._now = now
 
@@ -115,10 +117,10 @@
         """Return the targets that are not ejected."""
         if self._rotation is None:
             standings = tuple(
-                Standing(
+                TargetStatus(
                     record.target,
-                    float(_serves(record, self._now)),
-                    counted=_serves(record, self._now),
+                    float(_is_in_service(record, self._now)),
+                    counts_as_kept=_is_in_service(record, self._now),
                 )
                 for record in self._records.values()
             )
@@ -160,7 +162,7 @@
     )
 
 
-def _serves(record: _Record, now: float) -> bool:
+def _is_in_service(record: _Record, now: float) -> bool:
     if record.target.state is TargetState.DRAINING:
         return False
     return record.until <= now
--- a/hillfield/detection/board.py
+++ b/hillfield/detection/board.py
@@ -2,22 +2,22 @@
 
 from hillfield.detection.announcing import replace_targets
 from hillfield.detection.evidence import Evidence
-from hillfield.detection.explaining import explain_targets, report_held
+from hillfield.detection.explaining import explain_targets, report_floor_held
 from hillfield.detection.explanations import TargetExplanation
 from hillfield.detection.health import Health
 from hillfield.detection.lateness import (
-    AttemptNotes,
-    count_given_up,
+    AttemptTracker,
+    count_timeout,
     count_overdue,
-    is_counted,
+    is_counted_as_late,
 )
-from hillfield.detection.records import find_standing
-from hillfield.detection.reports import Statement
+from hillfield.detection.records import build_status
+from hillfield.detection.reports import ReceivedEvidence
 from hillfield.detection.rotation import Rotation, build_rotation
-from hillfield.detection.service import Service
-from hillfield.detection.sharing import hear, tell
-from hillfield.detection.sightings import count_end
-from hillfield.detection.timers import advance, note_probe
+from hillfield.detection.service import ServiceState
+from hillfield.detection.sharing import receive_evidence, select_evidence
+from hillfield.detection.observations import count_observation
+from hillfield.detection.aging import advance_time, apply_probe
 from hillfield.detection.tuning import DEFAULT_TUNING, Tuning
 from hillfield.events import Occurrence
 from hillfield.model import Locality, ServicePolicy, Target, TargetId
@@ -30,7 +30,7 @@
 )
 
 
-class HealthBoard(AttemptNotes):
+class HealthBoard(AttemptTracker):
     """Judge targets by real requests against their peers.
 
     Pure: all times are seconds of one monotonic clock that the caller reads.
@@ -43,7 +43,7 @@
         tuning: Tuning = DEFAULT_TUNING,
     ) -> None:
         """Start without targets; `locality` is that of this node."""
-        super().__init__(Service(policy, locality, tuning))
+        super().__init__(ServiceState(policy, locality, tuning))
         self._rotation = build_rotation((), policy.floor)
         self._reported = self._rotation
         self._now: float = 0
@@ -51,7 +51,7 @@
     def adopt_policy(self, now: float, policy: ServicePolicy) -> None:
         """Take a new policy into force."""
         self._service.policy = policy
-        self._service.changed = True
+        self._service.rotation_outdated = True
 
     def adopt_targets(self, now: float, targets: tuple[Target, ...]) -> None:
         """Replace the announced targets; call with draining ones at once."""
@@ -69,20 +69,20 @@
         self._now = now
         if isinstance(observation, Answered) and not observation.wrong:
             self.note_head(now, target, attempt)
-        started = self._service.attempts.take(attempt)
+        started = self._service.attempts.remove(attempt)
         record = self._service.records.get(target)
         if record is None:
             return
         unwritten = isinstance(observation, ConnectFailed | NothingWritten)
         if record.health is Health.TRIAL and not unwritten:
-            if attempt not in record.trials:
+            if attempt not in record.trial_attempts:
                 return
-        record.trials.discard(attempt)
+        record.trial_attempts.discard(attempt)
         if isinstance(observation, TimedOut) and started is not None:
-            if is_counted(self._service, started):
-                count_given_up(self._service, record, started, now)
+            if is_counted_as_late(self._service, started):
+                count_timeout(self._service, record, started, now)
                 return
-        count_end(observation, self._service, record, now)
+        count_observation(observation, self._service, record, now)
 
     def observe_probe(
         self,
@@ -95,16 +95,16 @@
         record = self._service.records.get(target)
         if record is None:
             return
-        note_probe(self._service, record, healthy, now)
+        apply_probe(self._service, record, healthy, now)
 
     def rotation(self) -> Rotation:
         """Return the targets that may receive work, never under the floor."""
         service = self._service
-        if service.changed:
-            service.changed = False
+        if service.rotation_outdated:
+            service.rotation_outdated = False
             self._rotation = build_rotation(
                 tuple(
-                    find_standing(record, self._now)
+                    build_status(record, self._now)
                     for record in service.records.values()
                 ),
                 service.policy.floor,
@@ -116,10 +116,10 @@
         service = self._service
         self._now = now
         count_overdue(service, now)
-        advance(service, now)
+        advance_time(service, now)
         rotation = self.rotation()
         if rotation is not self._reported:
-            report_held(service, self._reported, rotation)
+            report_floor_held(service, self._reported, rotation)
             self._reported = rotation
         occurrences = tuple(service.occurrences)
         service.occurrences.clear()
@@ -127,7 +127,7 @@
 
     def evidence(self, now: float) -> tuple[Evidence, ...]:
         """Return what to tell other nodes; empty when all is well."""
-        return tell(self._service, now)
+        return select_evidence(self._service, now)
 
     def adopt_evidence(
         self,
@@ -139,9 +139,9 @@
         """Replace what that node, of that failure domain, has told."""
         self._now = now
         statements = tuple(
-            Statement(node, domain, now, piece) for piece in evidence
+            ReceivedEvidence(node, domain, now, piece) for piece in evidence
         )
-        hear(self._service, node, statements, now)
+        receive_evidence(self._service, node, statements, now)
 
     def explain(self, now: float) -> tuple[TargetExplanation, ...]:
         """Explain the treatment of each target."""
--- a/hillfield/detection/demand.py
+++ b/hillfield/detection/demand.py
@@ -6,61 +6,61 @@
 HALF_LIFE: Final = 0.5
 RISE_SECONDS: Final = 30
 FALL_SECONDS: Final = 5
-FIRST_SECONDS: Final = 5
+LEARNING_SECONDS: Final = 5
 IDLE_SECONDS: Final = 10
 HALF: Final = 0.5
-LEAST_COUNT: Final = 8
+MIN_COUNT: Final = 8
 TOLERATED_FACTOR: Final = 1.7
-EXCUSE_PER_FACTOR: Final = 0.75
-MOST_EXCUSED: Final = 0.9
+LATE_SHARE_PER_FACTOR: Final = 0.75
+MAX_LATE_SHARE: Final = 0.9
 
 
 @dataclass(slots=True)
 class Demand:
     """Compare the requests of the last second with the usual ones.
 
-    `present` is a count that fades, `usual` its value outside bursts: it
-    falls quickly and rises slowly, so that bursts never become usual. `age`
+    `recent` is a count that fades, `baseline` its value outside bursts: it
+    falls quickly and rises slowly, so that bursts never become usual. `active_seconds`
     is for how many seconds there has been work: what came before says
     nothing, and after idleness the usual is learnt anew.
     """
 
-    present: float = 0
-    usual: float = 0
-    seen: float | None = None
-    age: float = 0
-    idle: float = 0
+    recent: float = 0
+    baseline: float = 0
+    advanced_at: float | None = None
+    active_seconds: float = 0
+    idle_seconds: float = 0
 
-    def add(self) -> None:
+    def count_request(self) -> None:
         """Count a request."""
-        self.present += 1
+        self.recent += 1
 
-    def forget(self, now: float) -> None:
+    def advance(self, now: float) -> None:
         """Let the count fade up to now."""
-        elapsed = 0 if self.seen is None else now - self.seen
-        self.seen = now
-        self._grow(elapsed)
-        seconds = RISE_SECONDS if self.present > self.usual else FALL_SECONDS
-        if self.age < FIRST_SECONDS:
+        elapsed = 0 if self.advanced_at is None else now - self.advanced_at
+        self.advanced_at = now
+        self._track_activity(elapsed)
+        seconds = RISE_SECONDS if self.recent > self.baseline else FALL_SECONDS
+        if self.active_seconds < LEARNING_SECONDS:
             # Too young to know what is usual.
             seconds = 1
         weight = min(1, elapsed / seconds)
-        self.usual += (self.present - self.usual) * weight
-        self.present *= float(HALF ** (elapsed / HALF_LIFE))
+        self.baseline += (self.recent - self.baseline) * weight
+        self.recent *= float(HALF ** (elapsed / HALF_LIFE))
 
-    def find_excuse(self) -> float:
+    def estimate_late_share(self) -> float:
         """Return the share of late answers that the demand explains."""
-        if self.present < LEAST_COUNT or self.age < FIRST_SECONDS:
+        if self.recent < MIN_COUNT or self.active_seconds < LEARNING_SECONDS:
             return 0
-        factor = self.present / max(1, self.usual)
+        factor = self.recent / max(1, self.baseline)
         excess = factor - TOLERATED_FACTOR
-        return min(MOST_EXCUSED, max(0, excess * EXCUSE_PER_FACTOR))
+        return min(MAX_LATE_SHARE, max(0, excess * LATE_SHARE_PER_FACTOR))
 
-    def _grow(self, elapsed: float) -> None:
-        if self.present >= LEAST_COUNT:
-            self.idle = 0
-            self.age += elapsed
+    def _track_activity(self, elapsed: float) -> None:
+        if self.recent >= MIN_COUNT:
+            self.idle_seconds = 0
+            self.active_seconds += elapsed
             return
-        self.idle += elapsed
-        if self.idle > IDLE_SECONDS:
-            self.age = 0
+        self.idle_seconds += elapsed
+        if self.idle_seconds > IDLE_SECONDS:
+            self.active_seconds = 0
--- a/hillfield/detection/explaining.py
+++ b/hillfield/detection/explaining.py
@@ -4,13 +4,13 @@
 from hillfield.detection.health import IN_SERVICE, Health
 from hillfield.detection.records import TargetRecord
 from hillfield.detection.rotation import Rotation
-from hillfield.detection.service import Service
+from hillfield.detection.service import ServiceState
 from hillfield.events import EventCode, Occurrence
 from hillfield.model import TargetId, TargetState
 
 
 def explain_targets(
-    service: Service,
+    service: ServiceState,
     rotation: Rotation,
 ) -> tuple[TargetExplanation, ...]:
     """Explain the treatment of each target, in the order of their names."""
@@ -23,22 +23,22 @@
             target,
             record.health.value,
             record.since,
-            _say_why(record),
+            _describe_reason(record),
             record.symptom,
             shares.get(target, 0),
-            target in rotation.held,
+            target in rotation.floor_held,
         )
         for target, record in sorted(service.records.items(), key=_order)
     )
 
 
-def report_held(
-    service: Service,
+def report_floor_held(
+    service: ServiceState,
     earlier: Rotation,
     later: Rotation,
 ) -> None:
     """Report the targets that the floor has begun to hold."""
-    for target in sorted(later.held - earlier.held):
+    for target in sorted(later.floor_held - earlier.floor_held):
         record = service.records.get(target)
         if record is None:
             continue
@@ -56,7 +56,7 @@
     return entry[0]
 
 
-def _say_why(record: TargetRecord) -> str:
+def _describe_reason(record: TargetRecord) -> str:
     match record.health:
         case Health.WARMING:
             return 'newly announced or cold: its share grows'
--- a/hillfield/detection/health.py
+++ b/hillfield/detection/health.py
@@ -28,9 +28,9 @@
     WARM = 'warm'
     SUSPECT = 'suspect'
     CLEAR = 'clear'
-    CONDEMN = 'condemn'
-    SHUN = 'shun'
-    TRY = 'try'
+    EJECT = 'condemn'
+    AVOID = 'shun'
+    START_TRIAL = 'try'
     RECOVER = 'recover'
     DRAIN = 'drain'
     RETURN = 'return'
@@ -49,12 +49,14 @@
     REPORT_DRAINED = 'report-drained'
 
 
-CHART: Final = read_chart(files('hillfield.detection') / 'health.toml').bind(
+HEALTH_CHART: Final = read_chart(
+    files('hillfield.detection') / 'health.toml'
+).bind(
     Health,
     HealthTrigger,
     HealthAction,
 )
-REPORTS: Final[Mapping[HealthAction, EventCode]] = MappingProxyType(
+EVENT_CODES: Final[Mapping[HealthAction, EventCode]] = MappingProxyType(
     {
         HealthAction.REPORT_SUSPECTED: EventCode.TARGET_SUSPECTED,
         HealthAction.REPORT_CLEARED: EventCode.TARGET_CLEARED,
@@ -65,7 +67,7 @@
         HealthAction.REPORT_DRAINED: EventCode.TARGET_DRAINED,
     },
 )
-OUT: Final = frozenset((Health.EJECTED, Health.AVOIDED))
+OUT_OF_ROTATION: Final = frozenset((Health.EJECTED, Health.AVOIDED))
 IN_SERVICE: Final = frozenset(
     (Health.WARMING, Health.HEALTHY, Health.SUSPECTED),
 )
--- a/hillfield/detection/indicators.py
+++ b/hillfield/detection/indicators.py
@@ -15,7 +15,7 @@
 
 from hillfield.detection.tuning import Tuning
 
-MOST_USUAL: Final = 0.7
+MAX_NULL_RATE: Final = 0.7
 
 
 class Indicator(IntEnum):
@@ -31,30 +31,30 @@
 class Hypotheses(Struct, frozen=True):
     """Hold the least null rate and the gap to the alternative."""
 
-    least_usual: float
+    min_null_rate: float
     gap: float
 
 
-RARE: Final = 0.01
-UNCOMMON: Final = 0.015
-SELDOM: Final = 0.007
-COMMON: Final = 0.06
-FIFTH: Final = 0.2
-THIRD: Final = 0.3
-HALF: Final = 0.5
+RARE_RATE: Final = 0.01
+UNCOMMON_RATE: Final = 0.015
+VERY_RARE_RATE: Final = 0.007
+COMMON_RATE: Final = 0.06
+SMALL_GAP: Final = 0.2
+MEDIUM_GAP: Final = 0.3
+LARGE_GAP: Final = 0.5
 HYPOTHESES: Final = (
-    Hypotheses(least_usual=RARE, gap=THIRD),
-    Hypotheses(least_usual=RARE, gap=FIFTH),
-    Hypotheses(least_usual=COMMON, gap=HALF),
-    Hypotheses(least_usual=UNCOMMON, gap=HALF),
-    Hypotheses(least_usual=SELDOM, gap=HALF),
+    Hypotheses(min_null_rate=RARE_RATE, gap=MEDIUM_GAP),
+    Hypotheses(min_null_rate=RARE_RATE, gap=SMALL_GAP),
+    Hypotheses(min_null_rate=COMMON_RATE, gap=LARGE_GAP),
+    Hypotheses(min_null_rate=UNCOMMON_RATE, gap=LARGE_GAP),
+    Hypotheses(min_null_rate=VERY_RARE_RATE, gap=LARGE_GAP),
 )
 
 
 class Weights(Struct, frozen=True):
     """Hold the log-likelihood ratio of one failure and of one success.
 
-    >>> weights = weigh(HYPOTHESES[Indicator.ERROR], 0)
+    >>> weights = compute_weights(HYPOTHESES[Indicator.ERROR], 0)
     >>> round(weights.score(3, 3), 1), round(weights.score(10, 0), 1)
     (9.1, -2.2)
     """
@@ -71,10 +71,10 @@
 NO_WEIGHTS: Final = Weights(0, 0)
 
 
-def weigh(hypotheses: Hypotheses, usual: float) -> Weights:
+def compute_weights(hypotheses: Hypotheses, usual: float) -> Weights:
     """Return the weights when peers fail at the rate `usual`."""
-    null = hypotheses.least_usual + usual
-    if null > MOST_USUAL:
+    null = hypotheses.min_null_rate + usual
+    if null > MAX_NULL_RATE:
         # Where most requests fail at the peers too, failures tell nothing.
         return NO_WEIGHTS
     room = 1 - null
@@ -83,16 +83,16 @@
     return Weights(failure, log((1 - sick) / room))
 
 
-def estimate_usual(rates: Iterable[float], tuning: Tuning) -> float:
+def estimate_peer_rate(rates: Iterable[float], tuning: Tuning) -> float:
     """Return the failure rate of the better part of the peers.
 
     The worst are left out, so that a sick minority doesn't hide itself.
 
-    >>> estimate_usual([0, 0.25, 1, 0.5, 1], Tuning(peer_factor=1))
+    >>> estimate_peer_rate([0, 0.25, 1, 0.5, 1], Tuning(peer_factor=1))
     0.25
     """
     ranked = sorted(rates)
-    trimmed = int(len(ranked) * tuning.trimmed_peers)
+    trimmed = int(len(ranked) * tuning.trimmed_peer_share)
     kept = ranked[: len(ranked) - trimmed]
     if not kept:
         return 0
--- a/hillfield/detection/latencies.py
+++ b/hillfield/detection/latencies.py
@@ -8,11 +8,11 @@
 from hillfield.model import Locality
 
 BUCKETS_PER_DOUBLING: Final = 8
-LEAST_LATENCY: Final = 1e-5
-LEAST_SAMPLES: Final = 12
-LEAST_EXCESS: Final = 0.004
-LEAST_HUNG: Final = 0.1
-NEGLIGIBLE: Final = 0.02
+MIN_LATENCY: Final = 1e-5
+MIN_SAMPLES: Final = 12
+MIN_EXCESS: Final = 0.004
+MIN_HUNG_EXCESS: Final = 0.1
+NEGLIGIBLE_COUNT: Final = 0.02
 SLOW_FACTOR: Final = 2.0
 VERY_SLOW_FACTOR: Final = 4.0
 HUNG_FACTOR: Final = 16.0
@@ -40,7 +40,7 @@
 
     def add(self, seconds: float) -> None:
         """Count one latency."""
-        bucket = int(BUCKETS_PER_DOUBLING * log2(max(seconds, LEAST_LATENCY)))
+        bucket = int(BUCKETS_PER_DOUBLING * log2(max(seconds, MIN_LATENCY)))
         self._buckets[bucket] = self._buckets.get(bucket, 0) + 1
         self._samples += 1
 
@@ -49,24 +49,24 @@
         self._buckets = {
             bucket: count * factor
             for bucket, count in self._buckets.items()
-            if count > NEGLIGIBLE
+            if count > NEGLIGIBLE_COUNT
         }
         self._samples = sum(self._buckets.values())
-        if self._samples >= LEAST_SAMPLES:
-            median = self._find_median()
+        if self._samples >= MIN_SAMPLES:
+            median = self._estimate_median()
             self.limits = Limits(
-                max(median * SLOW_FACTOR, median + LEAST_EXCESS),
-                max(median * VERY_SLOW_FACTOR, median + 2 * LEAST_EXCESS),
-                max(median * HUNG_FACTOR, median + LEAST_HUNG),
+                max(median * SLOW_FACTOR, median + MIN_EXCESS),
+                max(median * VERY_SLOW_FACTOR, median + 2 * MIN_EXCESS),
+                max(median * HUNG_FACTOR, median + MIN_HUNG_EXCESS),
             )
 
-    def _find_median(self) -> float:
+    def _estimate_median(self) -> float:
         rest = self._samples / 2
         for bucket in sorted(self._buckets):
             rest -= self._buckets[bucket]
             if rest <= 0:
                 return float(2 ** ((bucket + 0.5) / BUCKETS_PER_DOUBLING))
-        return LEAST_LATENCY
+        return MIN_LATENCY
 
 
 def classify_distance(here: Locality, there: Locality) -> int:
--- a/hillfield/detection/lateness.py
+++ b/hillfield/detection/lateness.py
@@ -3,71 +3,75 @@
 from typing import Final
 
 from hillfield.detection.attempts import Attempt
-from hillfield.detection.fading import add_failure
-from hillfield.detection.health import OUT, Health
+from hillfield.detection.decay import count_failure
+from hillfield.detection.health import OUT_OF_ROTATION, Health
 from hillfield.detection.indicators import Indicator
 from hillfield.detection.records import TargetRecord
 from hillfield.detection.service import (
     DISTANCES,
-    Service,
-    add_latency,
-    find_limits,
-    judges_lateness,
+    ServiceState,
+    record_latency,
+    select_limits,
+    can_compare_latency,
 )
-from hillfield.detection.verdicts import judge
+from hillfield.detection.evaluation import evaluate_target
 from hillfield.model import TargetId
 
-LATENESS: Final = (Indicator.SLOW, Indicator.VERY_SLOW, Indicator.HUNG)
+INDICATORS_BY_LIMIT: Final = (
+    Indicator.SLOW,
+    Indicator.VERY_SLOW,
+    Indicator.HUNG,
+)
 # Limits passed by an attempt whose time-out says nothing new.
-PLAINLY_LATE: Final = 2
+MIN_LIMITS_PASSED: Final = 2
 
 
-def count_head(
-    service: Service,
+def count_latency(
+    service: ServiceState,
     record: TargetRecord,
     attempt: Attempt,
     now: float,
 ) -> None:
     """Count how long an answer's head took."""
-    if is_excused(record, attempt):
+    if is_lateness_ignored(record, attempt):
         return
     seconds = now - attempt.aged_from
-    limits = find_limits(service, record)
-    if record.health not in OUT:
-        add_latency(service, record, seconds)
+    limits = select_limits(service, record)
+    if record.health not in OUT_OF_ROTATION:
+        record_latency(service, record, seconds)
     passed = (
         seconds > limits.slow,
         seconds > limits.very_slow,
         seconds > limits.hung,
     )
-    for indicator, is_late in zip(LATENESS, passed, strict=True):
+    for indicator, is_late in zip(INDICATORS_BY_LIMIT, passed, strict=True):
         tally = record.tallies[indicator]
-        if attempt.overdue > indicator - Indicator.SLOW:
+        if attempt.limits_passed > indicator - Indicator.SLOW:
             # Counted when it became late; now it has been answered.
             tally.unanswered = max(0, tally.unanswered - 1)
         elif is_late:
-            add_failure(service, record, indicator, now)
+            count_failure(service, record, indicator, now)
         else:
             tally.add_success(now, service.weights[indicator])
     if any(passed):
-        judge(service, record, now)
+        evaluate_target(service, record, now)
 
 
-def count_overdue(service: Service, now: float) -> None:
+def count_overdue(service: ServiceState, now: float) -> None:
     """Count attempts that have just become late, unanswered as they are."""
-    limits = service.references[DISTANCES].limits
+    limits = service.latency_references[DISTANCES].limits
     for attempt in service.attempts.collect_overdue(now, limits):
         record = service.records.get(attempt.target)
-        if record is None or is_excused(record, attempt):
+        if record is None or is_lateness_ignored(record, attempt):
             continue
-        indicator = LATENESS[attempt.overdue - 1]
-        add_failure(service, record, indicator, now)
+        indicator = INDICATORS_BY_LIMIT[attempt.limits_passed - 1]
+        count_failure(service, record, indicator, now)
         record.tallies[indicator].unanswered += 1
-        judge(service, record, now)
+        evaluate_target(service, record, now)
 
 
-def count_given_up(
-    service: Service,
+def count_timeout(
+    service: ServiceState,
     record: TargetRecord,
     attempt: Attempt,
     now: float,
@@ -76,19 +80,23 @@
 
     Where peers are slow the limit of that may lie beyond the deadline.
     """
-    if attempt.overdue >= len(LATENESS) or is_excused(record, attempt):
+    if attempt.limits_passed >= len(INDICATORS_BY_LIMIT) or is_lateness_ignored(
+        record, attempt
+    ):
         return
-    add_failure(service, record, Indicator.HUNG, now)
+    count_failure(service, record, Indicator.HUNG, now)
     record.tallies[Indicator.HUNG].unanswered += 1
-    judge(service, record, now)
+    evaluate_target(service, record, now)
 
 
-def is_counted(service: Service, attempt: Attempt) -> bool:
+def is_counted_as_late(service: ServiceState, attempt: Attempt) -> bool:
     """Return whether a time-out is counted by the attempt's lateness."""
-    return attempt.overdue >= PLAINLY_LATE and judges_lateness(service)
+    return attempt.limits_passed >= MIN_LIMITS_PASSED and can_compare_latency(
+        service
+    )
 
 
-def is_excused(record: TargetRecord, attempt: Attempt) -> bool:
+def is_lateness_ignored(record: TargetRecord, attempt: Attempt) -> bool:
     """Return whether the attempt's lateness says nothing of the target."""
     if record.health is Health.TRIAL:
         # What was sent before the trial says nothing of it.
@@ -97,31 +105,31 @@
     return record.health is Health.WARMING
 
 
-class AttemptNotes:
+class AttemptTracker:
     """Follow the attempts of one service; times are seconds."""
 
-    def __init__(self, service: Service) -> None:
+    def __init__(self, service: ServiceState) -> None:
         """Take notes for this service."""
         self._service = service
 
     def note_started(self, now: float, target: TargetId, attempt: int) -> None:
         """Note that an attempt is about to be written."""
         self._service.attempts.start(now, target, attempt)
-        self._service.demand.add()
+        self._service.demand.count_request()
         record = self._service.records.get(target)
         if record is None:
             return
-        self._service.counted.add(target)
+        self._service.counted_targets.add(target)
         if record.health is Health.TRIAL:
-            record.trials.add(attempt)
+            record.trial_attempts.add(attempt)
 
     def note_head(self, now: float, target: TargetId, attempt: int) -> None:
         """Note that the head of the attempt's answer has come."""
-        started = self._service.attempts.take(attempt)
+        started = self._service.attempts.remove(attempt)
         record = self._service.records.get(target)
         if started is not None and record is not None:
-            count_head(self._service, record, started, now)
+            count_latency(self._service, record, started, now)
 
     def excuse(self, now: float, seconds: float) -> None:
         """Hold no silence of the last seconds against targets."""
-        self._service.attempts.excuse(now, seconds)
+        self._service.attempts.discount_pause(now, seconds)
--- a/hillfield/detection/measurement.py
+++ b/hillfield/detection/measurement.py
@@ -9,8 +9,8 @@
 
 from msgspec import Struct
 
-from hillfield.detection.modelfleet import ModelFleet, make_fleet
-from hillfield.detection.rounds import TICK, tick_boards
+from hillfield.detection.modelfleet import ModelFleet, build_fleet
+from hillfield.detection.ticks import TICK, tick_detectors
 from hillfield.detection.traffic import run_until
 from hillfield.detection.trials import Trial
 from hillfield.detection.trouble import INNOCENT, ONSET
@@ -39,20 +39,20 @@
 
 def measure(trial: Trial) -> Measurement:
     """Run one trial."""
-    fleet = make_fleet(trial)
+    fleet = build_fleet(trial)
     ticks = round(trial.seconds / TICK)
     for number in range(1, ticks + 1):
         run_until(fleet, number * TICK)
-        tick_boards(fleet, number)
+        tick_detectors(fleet, number)
     return _sum_up(fleet)
 
 
 def _sum_up(fleet: ModelFleet) -> Measurement:
-    trial = fleet.trial
+    trial = fleet.simulation
     share: float = 0
     if fleet.detected is not None:
         fair = (fleet.sent - fleet.sent_at_detection) / trial.size.targets
-        share = fleet.sent_late / max(1, fair)
+        share = fleet.sent_after_detection / max(1, fair)
     innocent = trial.size.targets - (trial.trouble not in INNOCENT)
     return Measurement(
         trial,
--- a/hillfield/detection/modelfleet.py
+++ b/hillfield/detection/modelfleet.py
@@ -16,16 +16,16 @@
 from hillfield.detection.trouble import Call, ModelTarget, Trouble
 from hillfield.model import Address, Locality, Target, TargetId
 
-CONNECTIONS: Final = 300
+CONNECTION_LIMIT: Final = 300
 PORT: Final = 80
 FIRST_ADDRESS: Final = IPv4Address('127.0.0.1')
-SHARED: Final = frozenset(
+SHARED_DISTURBANCES: Final = frozenset(
     (Trouble.SLOWDOWN, Trouble.SOME_ERRORS, Trouble.MIXED_ROUTES),
 )
-EMPTY: Final = build_rotation((), 0)
+EMPTY_ROTATION: Final = build_rotation((), 0)
 
 
-class Due(Struct, frozen=True, order=True):
+class PendingCall(Struct, frozen=True, order=True):
     """Hold a call that ends at a time."""
 
     at: float
@@ -41,26 +41,26 @@
 
     number: int
     locality: Locality
-    board: Board
+    detector: Board
     in_flight: Counter[TargetId] = field(default_factory=Counter)
-    seen: Rotation = EMPTY
-    sends_to_sick: bool = True
+    last_rotation: Rotation = EMPTY_ROTATION
+    sends_to_faulty: bool = True
 
 
 @dataclass(slots=True)
 class ModelFleet:
     """Hold the state of one trial."""
 
-    trial: Trial
+    simulation: Trial
     random: Random
     nodes: tuple[ModelNode, ...]
     targets: dict[TargetId, ModelTarget]
-    sick: TargetId
-    cut: frozenset[int]
-    due: list[Due] = field(default_factory=list)
+    faulty: TargetId
+    cut_nodes: frozenset[int]
+    pending: list[PendingCall] = field(default_factory=list)
     next_arrival: float = 0
     sent: int = 0
-    sent_late: int = 0
+    sent_after_detection: int = 0
     last_sent: float = 0
     sent_at_detection: int = 0
     detected: float | None = None
@@ -69,11 +69,11 @@
     least_kept: float = 1
 
 
-def make_fleet(trial: Trial) -> ModelFleet:
+def build_fleet(trial: Trial) -> ModelFleet:
     """Return the fleet of a trial at time 0."""
     random = Random(trial.seed)
     models = tuple(
-        _make_model(trial, position, random)
+        _build_model(trial, position, random)
         for position in range(trial.size.targets)
     )
     cut = frozenset[int]()
@@ -82,7 +82,7 @@
     fleet = ModelFleet(
         trial,
         random,
-        tuple(_make_node(trial, host) for host in range(trial.size.nodes)),
+        tuple(_build_node(trial, host) for host in range(trial.size.nodes)),
         {model.target.id: model for model in models},
         models[0].target.id,
         cut,
@@ -91,22 +91,22 @@
     return fleet
 
 
-def _make_model(trial: Trial, position: int, random: Random) -> ModelTarget:
-    troubled = position == 0 or trial.trouble in SHARED
+def _build_model(trial: Trial, position: int, random: Random) -> ModelTarget:
+    troubled = position == 0 or trial.trouble in SHARED_DISTURBANCES
     return ModelTarget(
-        make_target(trial, position, 1),
+        build_target(trial, position, 1),
         trial.size.median,
         trial.trouble if troubled else Trouble.CALM,
         random,
     )
 
 
-def _make_locality(trial: Trial, number: int, host: str) -> Locality:
+def _build_locality(trial: Trial, number: int, host: str) -> Locality:
     domain = number % trial.size.domains
     return Locality('region', f'domain-{domain}', host)
 
 
-def make_target(trial: Trial, number: int, incarnation: int) -> Target:
+def build_target(trial: Trial, number: int, incarnation: int) -> Target:
     """Return a target; numbers go round the failure domains."""
     return Target(
         TargetId(
@@ -114,14 +114,14 @@
             Address(str(FIRST_ADDRESS + number), PORT),
             incarnation,
         ),
-        _make_locality(trial, number, f'host-{number}'),
+        _build_locality(trial, number, f'host-{number}'),
         trial.size.slots,
-        CONNECTIONS,
+        CONNECTION_LIMIT,
     )
 
 
-def _make_node(trial: Trial, number: int) -> ModelNode:
-    locality = _make_locality(trial, number, f'node-{number}')
+def _build_node(trial: Trial, number: int) -> ModelNode:
+    locality = _build_locality(trial, number, f'node-{number}')
     if trial.board is BoardKind.BASELINE:
         return ModelNode(
             number,
@@ -135,4 +135,4 @@
     """Tell all nodes of the targets."""
     targets = tuple(model.target for model in fleet.targets.values())
     for node in fleet.nodes:
-        node.board.adopt_targets(now, targets)
+        node.detector.adopt_targets(now, targets)
--- a/hillfield/detection/sightings.py
+++ b/hillfield/detection/observations.py
@@ -4,13 +4,13 @@
 from typing import Final
 
 from hillfield.detection.evidence import Symptom
-from hillfield.detection.fading import add_failure
-from hillfield.detection.health import OUT, Health
+from hillfield.detection.decay import count_failure
+from hillfield.detection.health import OUT_OF_ROTATION, Health
 from hillfield.detection.indicators import Indicator
 from hillfield.detection.records import TRIAL_STAGES, TargetRecord
-from hillfield.detection.service import Service
-from hillfield.detection.transitions import restore
-from hillfield.detection.verdicts import judge
+from hillfield.detection.service import ServiceState
+from hillfield.detection.transitions import restore_target
+from hillfield.detection.evaluation import evaluate_target
 from hillfield.routing.declining import Declined
 from hillfield.routing.requests import (
     Answered,
@@ -23,13 +23,13 @@
 )
 
 SHED_SECONDS: Final = 1
-HELD_SUCCESSES: Final = 10
+FLOOR_HELD_SUCCESSES: Final = 10
 
 
 @singledispatch
-def count_end(
+def count_observation(
     observation: object,
-    service: Service,
+    service: ServiceState,
     record: TargetRecord,
     now: float,
 ) -> None:
@@ -37,20 +37,20 @@
     raise TypeError(f'no observation: {observation!r}')
 
 
-@count_end.register
-def _count_gone(
+@count_observation.register
+def _count_caller_gone(
     observation: CallerGone,
-    service: Service,
+    service: ServiceState,
     record: TargetRecord,
     now: float,
 ) -> None:
     """Learn nothing: the target had no chance to end it."""
 
 
-@count_end.register
+@count_observation.register
 def _count_declined(
     observation: Declined,
-    service: Service,
+    service: ServiceState,
     record: TargetRecord,
     now: float,
 ) -> None:
@@ -58,37 +58,37 @@
     _count_reached(service, record, now)
 
 
-@count_end.register(ConnectFailed)
-@count_end.register(NothingWritten)
+@count_observation.register(ConnectFailed)
+@count_observation.register(NothingWritten)
 def _count_unreachable(
     observation: ConnectFailed | NothingWritten,
-    service: Service,
+    service: ServiceState,
     record: TargetRecord,
     now: float,
 ) -> None:
-    record.passed = 0
-    add_failure(service, record, Indicator.UNREACHABLE, now)
-    judge(service, record, now)
+    record.consecutive_successes = 0
+    count_failure(service, record, Indicator.UNREACHABLE, now)
+    evaluate_target(service, record, now)
 
 
-@count_end.register
+@count_observation.register
 def _count_shed(
     observation: Shed,
-    service: Service,
+    service: ServiceState,
     record: TargetRecord,
     now: float,
 ) -> None:
     _count_reached(service, record, now)
     # The target defends itself: less work for a moment, no fault.
     record.shed_until = now + SHED_SECONDS
-    service.unsettled.add(record.target.id)
-    service.changed = True
+    service.unsettled_targets.add(record.target.id)
+    service.rotation_outdated = True
 
 
-@count_end.register
+@count_observation.register
 def _count_broken(
     observation: Broken,
-    service: Service,
+    service: ServiceState,
     record: TargetRecord,
     now: float,
 ) -> None:
@@ -96,20 +96,20 @@
     _count_error(service, record, now, Symptom.BROKEN)
 
 
-@count_end.register
+@count_observation.register
 def _count_timeout(
     observation: TimedOut,
-    service: Service,
+    service: ServiceState,
     record: TargetRecord,
     now: float,
 ) -> None:
     _count_error(service, record, now, Symptom.STALLED)
 
 
-@count_end.register
+@count_observation.register
 def _count_answer(
     observation: Answered,
-    service: Service,
+    service: ServiceState,
     record: TargetRecord,
     now: float,
 ) -> None:
@@ -120,13 +120,13 @@
     tally = record.tallies[Indicator.ERROR]
     tally.add_success(now, service.weights[Indicator.ERROR])
     if record.health is Health.TRIAL:
-        _pass_trial(service, record, now)
-    elif record.health in OUT:
-        _pass_held(record, now)
+        _count_trial_success(service, record, now)
+    elif record.health in OUT_OF_ROTATION:
+        _count_floor_held_success(record, now)
 
 
 def _count_reached(
-    service: Service,
+    service: ServiceState,
     record: TargetRecord,
     now: float,
 ) -> None:
@@ -135,31 +135,36 @@
 
 
 def _count_error(
-    service: Service,
+    service: ServiceState,
     record: TargetRecord,
     now: float,
     symptom: Symptom,
 ) -> None:
-    record.passed = 0
+    record.consecutive_successes = 0
     record.error_symptom = symptom
-    add_failure(service, record, Indicator.ERROR, now)
-    judge(service, record, now)
+    count_failure(service, record, Indicator.ERROR, now)
+    evaluate_target(service, record, now)
 
 
-def _pass_trial(service: Service, record: TargetRecord, now: float) -> None:
-    record.passed += 1
-    if record.passed < TRIAL_STAGES[record.stage].successes:
+def _count_trial_success(
+    service: ServiceState, record: TargetRecord, now: float
+) -> None:
+    record.consecutive_successes += 1
+    if (
+        record.consecutive_successes
+        < TRIAL_STAGES[record.trial_stage].successes
+    ):
         return
-    record.passed = 0
-    record.stage += 1
-    service.changed = True
-    if record.stage == len(TRIAL_STAGES):
-        record.stage = 0
-        restore(service, record, now)
+    record.consecutive_successes = 0
+    record.trial_stage += 1
+    service.rotation_outdated = True
+    if record.trial_stage == len(TRIAL_STAGES):
+        record.trial_stage = 0
+        restore_target(service, record, now)
 
 
-def _pass_held(record: TargetRecord, now: float) -> None:
+def _count_floor_held_success(record: TargetRecord, now: float) -> None:
     # Only the floor sends a target work in this state.
-    record.passed += 1
-    if record.passed >= HELD_SUCCESSES:
-        record.until = min(record.until, now)
+    record.consecutive_successes += 1
+    if record.consecutive_successes >= FLOOR_HELD_SUCCESSES:
+        record.out_until = min(record.out_until, now)
--- a/hillfield/detection/paths.py
+++ b/hillfield/detection/paths.py
@@ -5,11 +5,11 @@
 
 from hillfield.detection.evidence import Symptom
 from hillfield.detection.explanations import TargetExplanation
-from hillfield.detection.quiet import QuietBoard
+from hillfield.detection.resultdetector import ResultDetector
 from hillfield.detection.rotation import (
     FULL_SHARE,
     Rotation,
-    Standing,
+    TargetStatus,
     build_rotation,
 )
 from hillfield.events import EventCode, Occurrence
@@ -30,24 +30,24 @@
 
 # Seconds that a way is left alone after its first failure; twice as long
 # after each further one.
-FIRST_AVOIDANCE: Final = 0.25
-LONGEST_AVOIDANCE: Final = 4.0
-MOST_DOUBLINGS: Final = 6
+MIN_AVOIDANCE_SECONDS: Final = 0.25
+MAX_AVOIDANCE_SECONDS: Final = 4.0
+MAX_DOUBLINGS: Final = 6
 # What a cold target gets of a warm one's work.
 COLD_SHARE: Final = 0.4
 # Ends that speak of the way: a node that got the request would have said so.
-LOST: Final = (ConnectFailed, NothingWritten, TimedOut)
+PATH_FAILURES: Final = (ConnectFailed, NothingWritten, TimedOut)
 
 
 @dataclass(slots=True)
-class _Way:
+class _Path:
     target: Target
     since: float
     until: float = 0
     failures: int = 0
 
 
-class PathBoard(QuietBoard):
+class PathBoard(ResultDetector):
     """Leave ways alone that failed; the last one is never given up."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
@@ -55,7 +55,7 @@
         super().__init__()
         self._policy = policy
         self._locality = locality
-        self._ways: dict[TargetId, _Way] = {}
+        self._ways: dict[TargetId, _Path] = {}
         self._rotation: Rotation | None = None
         self._now: float = 0
 
@@ -69,7 +69,7 @@
         known = self._ways
         self._ways = {}
         for target in targets:
-            way = known.get(target.id) or _Way(target, now)
+            way = known.get(target.id) or _Path(target, now)
             way.target = target
             self._ways[target.id] = way
         self._rotation = None
@@ -86,13 +86,13 @@
         self._now = now
         if way is None or isinstance(observation, CallerGone):
             return
-        if not isinstance(observation, LOST):
+        if not isinstance(observation, PATH_FAILURES):
             way.failures = 0
             return
-        seconds = _avoid(way, now)
+        seconds = _avoid_path(way, now)
         self._rotation = None
         if seconds is not None:
-            self.occurrences.append(
+            self.pending_occurrences.append(
                 Occurrence(
                     EventCode.TARGET_AVOIDED,
                     service=target.service,
@@ -114,7 +114,7 @@
         """Return the targets whose way is not left alone."""
         if self._rotation is None:
             standings = tuple(
-                _stand(way, self._now) for way in self._ways.values()
+                _build_status(way, self._now) for way in self._ways.values()
             )
             self._rotation = build_rotation(standings, 0)
         return self._rotation
@@ -132,11 +132,11 @@
         return tuple(_explain(way, now) for way in self._ways.values())
 
 
-def _avoid(way: _Way, now: float) -> float | None:
+def _avoid_path(way: _Path, now: float) -> float | None:
     """Leave a way alone; return for how long, None if it already is."""
-    doublings = min(way.failures, MOST_DOUBLINGS)
-    wanted = FIRST_AVOIDANCE * 2**doublings
-    seconds = min(LONGEST_AVOIDANCE, wanted)
+    doublings = min(way.failures, MAX_DOUBLINGS)
+    wanted = MIN_AVOIDANCE_SECONDS * 2**doublings
+    seconds = min(MAX_AVOIDANCE_SECONDS, wanted)
     is_new = now >= way.until
     if is_new:
         way.failures += 1
@@ -145,19 +145,19 @@
     return seconds if is_new else None
 
 
-def _stand(way: _Way, now: float) -> Standing:
+def _build_status(way: _Path, now: float) -> TargetStatus:
     target = way.target
     serves = way.until <= now
     share = COLD_SHARE if target.state is TargetState.COLD else FULL_SHARE
-    return Standing(
+    return TargetStatus(
         target,
         share if serves else 0,
-        counted=serves,
-        sickness=way.failures,
+        counts_as_kept=serves,
+        severity=way.failures,
     )
 
 
-def _explain(way: _Way, now: float) -> TargetExplanation:
+def _explain(way: _Path, now: float) -> TargetExplanation:
     serves = way.until <= now
     return TargetExplanation(
         way.target.id,
--- a/hillfield/detection/pools.py
+++ b/hillfield/detection/pools.py
@@ -7,13 +7,13 @@
 from hillfield.detection.health import Health
 from hillfield.detection.indicators import Indicator
 from hillfield.detection.records import TargetRecord
-from hillfield.detection.reports import Statement
-from hillfield.detection.service import Service
+from hillfield.detection.reports import ReceivedEvidence
+from hillfield.detection.service import ServiceState
 from hillfield.detection.tallies import Tally
 
-OWN_VIEW: Final = 0.5
-MOST_CLEAN: Final = 5.0
-CLEAN_SECONDS: Final = 1.0
+MIN_OWN_FAILURES: Final = 0.5
+MAX_OWN_SUCCESSES: Final = 5.0
+MAX_SUCCESS_AGE: Final = 1.0
 # A path can cause these; only a target itself answers wrongly or late.
 PATH_SYMPTOMS: Final = frozenset(
     (Symptom.UNREACHABLE, Symptom.STALLED, Symptom.BROKEN),
@@ -21,7 +21,7 @@
 
 
 @dataclass(slots=True)
-class Pool:
+class PooledCounts:
     """Sum up what this node and others count of one indicator.
 
     `margin` is by how much the score passes the threshold (below 0: not);
@@ -39,7 +39,7 @@
     confirmed: bool = False
 
 
-def find_symptom(record: TargetRecord, indicator: Indicator) -> Symptom:
+def infer_symptom(record: TargetRecord, indicator: Indicator) -> Symptom:
     """Return what the indicator's failures at this node mean."""
     match indicator:
         case Indicator.UNREACHABLE:
@@ -52,16 +52,16 @@
     return Symptom.SLOW
 
 
-def pool_own(
-    service: Service,
+def pool_own_counts(
+    service: ServiceState,
     record: TargetRecord,
     indicator: Indicator,
-) -> Pool:
+) -> PooledCounts:
     """Sum up what this node counts."""
     tally = record.tallies[indicator]
-    pool = Pool(
+    pool = PooledCounts(
         indicator,
-        find_symptom(record, indicator),
+        infer_symptom(record, indicator),
         tally.requests,
         tally.failures,
         set(),
@@ -69,43 +69,46 @@
     )
     if pool.symptom in PATH_SYMPTOMS:
         pool.path_failures = tally.failures
-    if tally.failures >= OWN_VIEW:
+    if tally.failures >= MIN_OWN_FAILURES:
         pool.nodes.add('')
         pool.domains.add(service.locality.failure_domain)
     return pool
 
 
-def pool_all(
-    service: Service,
+def pool_all_counts(
+    service: ServiceState,
     record: TargetRecord,
     indicator: Indicator,
-    statements: tuple[Statement, ...],
+    statements: tuple[ReceivedEvidence, ...],
     now: float,
-) -> Pool:
+) -> PooledCounts:
     """Sum up what this node and others count."""
-    pool = pool_own(service, record, indicator)
+    pool = pool_own_counts(service, record, indicator)
     clean: float = 0
     if not pool.nodes:
-        clean = _count_clean(record.tallies[indicator], now)
+        clean = _count_own_successes(record.tallies[indicator], now)
     pool.requests += clean
     for statement in statements:
-        if _speaks_of(statement, record, indicator):
-            _add_statement(pool, statement)
+        if _applies_to(statement, record, indicator):
+            _add_received(pool, statement)
     pool.confirmed = _is_confirmed(service, pool, clean)
     return pool
 
 
-def _speaks_of(
-    statement: Statement,
+def _applies_to(
+    statement: ReceivedEvidence,
     record: TargetRecord,
     indicator: Indicator,
 ) -> bool:
     if statement.indicator is not indicator:
         return False
-    return record.health is not Health.TRIAL or statement.taken > record.since
+    return (
+        record.health is not Health.TRIAL
+        or statement.received_at > record.since
+    )
 
 
-def _add_statement(pool: Pool, statement: Statement) -> None:
+def _add_received(pool: PooledCounts, statement: ReceivedEvidence) -> None:
     evidence = statement.evidence
     if evidence.symptom in PATH_SYMPTOMS:
         pool.path_failures += evidence.failures
@@ -117,14 +120,16 @@
     pool.domains.add(statement.domain)
 
 
-def _count_clean(tally: Tally, now: float) -> float:
-    if now - tally.succeeded_at > CLEAN_SECONDS:
+def _count_own_successes(tally: Tally, now: float) -> float:
+    if now - tally.succeeded_at > MAX_SUCCESS_AGE:
         return 0
     clean = tally.recent_requests - tally.recent_failures
-    return min(MOST_CLEAN, clean)
+    return min(MAX_OWN_SUCCESSES, clean)
 
 
-def _is_confirmed(service: Service, pool: Pool, clean: float) -> bool:
+def _is_confirmed(
+    service: ServiceState, pool: PooledCounts, clean: float
+) -> bool:
     if len(pool.nodes) < 2:
         return False
     if pool.path_failures < pool.failures / 2:
@@ -132,4 +137,4 @@
     if clean >= 1:
         # This node gets through: the others' paths are at fault.
         return False
-    return len(pool.domains) >= min(2, service.domains)
+    return len(pool.domains) >= min(2, service.domain_count)
--- a/hillfield/detection/reports.py
+++ b/hillfield/detection/reports.py
@@ -10,8 +10,8 @@
 from hillfield.detection.latencies import HUNG_FACTOR, VERY_SLOW_FACTOR
 from hillfield.model import TargetId
 
-MOST_NODES: Final = 64
-MOST_EVIDENCE: Final = 32
+MAX_NODES: Final = 64
+MAX_PIECES_PER_NODE: Final = 32
 
 
 def find_indicator(evidence: Evidence) -> Indicator:
@@ -31,12 +31,12 @@
     return Indicator.SLOW
 
 
-class Statement(Struct, frozen=True):
+class ReceivedEvidence(Struct, frozen=True):
     """Hold one piece of evidence, where it comes from and when it came."""
 
     node: str
     domain: str
-    taken: float
+    received_at: float
     evidence: Evidence
 
     @property
@@ -45,32 +45,32 @@
         return find_indicator(self.evidence)
 
 
-Statements = tuple[Statement, ...]
-StatementsByNode = dict[str, list[Statement]]
+Statements = tuple[ReceivedEvidence, ...]
+EvidenceByNode = dict[str, list[ReceivedEvidence]]
 
 
-class Reports:
+class EvidenceReports:
     """Keep the newest report of each node, a bounded number of them."""
 
     def __init__(self) -> None:
         """Start empty."""
-        self._reports: dict[str, tuple[Statement, ...]] = {}
-        self._by_target: dict[TargetId, StatementsByNode] = {}
+        self._reports: dict[str, tuple[ReceivedEvidence, ...]] = {}
+        self._by_target: dict[TargetId, EvidenceByNode] = {}
 
-    def adopt(
+    def replace_report(
         self,
         node: str,
-        statements: tuple[Statement, ...],
+        statements: tuple[ReceivedEvidence, ...],
     ) -> frozenset[TargetId]:
         """Replace that node's report; return the targets it newly accuses."""
-        earlier = self._forget(node)
-        kept = statements[:MOST_EVIDENCE]
+        earlier = self._remove(node)
+        kept = statements[:MAX_PIECES_PER_NODE]
         if kept:
             self._reports[node] = kept
         for statement in kept:
             self._index(statement)
-        while len(self._reports) > MOST_NODES:
-            self._forget(next(iter(self._reports)))
+        while len(self._reports) > MAX_NODES:
+            self._remove(next(iter(self._reports)))
         return frozenset(
             accused.evidence.target
             for accused in kept
@@ -82,33 +82,33 @@
         stale = [
             node
             for node, statements in self._reports.items()
-            if statements[0].taken < before
+            if statements[0].received_at < before
         ]
         for node in stale:
-            self._forget(node)
+            self._remove(node)
 
     @property
-    def any_known(self) -> bool:
+    def has_any(self) -> bool:
         """Return whether any node tells anything."""
         return bool(self._reports)
 
-    def knows(self, target: TargetId) -> bool:
+    def has_target(self, target: TargetId) -> bool:
         """Return whether anything is told of this life of the target."""
         return target in self._by_target
 
-    def about(self, target: TargetId) -> tuple[Statement, ...]:
+    def for_target(self, target: TargetId) -> tuple[ReceivedEvidence, ...]:
         """Return what is told of exactly this life of the target."""
         by_node = self._by_target.get(target)
         if not by_node:
             return ()
         return tuple(chain.from_iterable(by_node.values()))
 
-    def _index(self, statement: Statement) -> None:
+    def _index(self, statement: ReceivedEvidence) -> None:
         target = statement.evidence.target
         by_node = self._by_target.setdefault(target, {})
         by_node.setdefault(statement.node, []).append(statement)
 
-    def _forget(self, node: str) -> tuple[Statement, ...]:
+    def _remove(self, node: str) -> tuple[ReceivedEvidence, ...]:
         earlier = self._reports.pop(node, ())
         for statement in earlier:
             target = statement.evidence.target
@@ -120,8 +120,8 @@
 
 
 def _has_grown(
-    statement: Statement,
-    earlier: tuple[Statement, ...],
+    statement: ReceivedEvidence,
+    earlier: tuple[ReceivedEvidence, ...],
 ) -> bool:
     evidence = statement.evidence
     return not any(
--- a/hillfield/detection/quiet.py
+++ b/hillfield/detection/resultdetector.py
@@ -5,12 +5,12 @@
 from hillfield.model import TargetId
 
 
-class QuietBoard:
+class ResultDetector:
     """Ignore starts, heads and other nodes; keep events until the tick."""
 
     def __init__(self) -> None:
         """Start without events."""
-        self.occurrences: list[Occurrence] = []
+        self.pending_occurrences: list[Occurrence] = []
 
     def note_started(self, now: float, target: TargetId, attempt: int) -> None:
         """Ignore the start."""
@@ -36,6 +36,6 @@
 
     def take_occurrences(self) -> tuple[Occurrence, ...]:
         """Return the events since the last call."""
-        occurrences = tuple(self.occurrences)
-        self.occurrences.clear()
+        occurrences = tuple(self.pending_occurrences)
+        self.pending_occurrences.clear()
         return occurrences
--- a/hillfield/detection/rotation.py
+++ b/hillfield/detection/rotation.py
@@ -24,31 +24,33 @@
 class Rotation(Struct, frozen=True):
     """Hold the targets of a service that may receive work now.
 
-    `held` are the sick ones that only the floor keeps here. Both slot counts
+    `floor_held` are the sick ones that only the floor keeps here. Both slot counts
     leave draining targets out; targets on trial do not count as kept.
     """
 
     candidates: tuple[Candidate, ...]
-    held: frozenset[TargetId]
+    floor_held: frozenset[TargetId]
     kept_slots: int
     announced_slots: int
 
 
-class Standing(Struct, frozen=True):
+class TargetStatus(Struct, frozen=True):
     """Judge one target for the rotation.
 
-    `share` is 0 for a target taken out; `counted` says whether its slots
-    count as kept. Of the others the lowest `sickness` is used first.
+    `share` is 0 for a target taken out; `counts_as_kept` says whether its slots
+    count as kept. Of the others the lowest `severity` is used first.
     """
 
     target: Target
     share: float
-    counted: bool
-    sickness: float = 0
-    watched: bool = False
+    counts_as_kept: bool
+    severity: float = 0
+    keeps_share: bool = False
 
 
-def build_rotation(standings: tuple[Standing, ...], floor: float) -> Rotation:
+def build_rotation(
+    standings: tuple[TargetStatus, ...], floor: float
+) -> Rotation:
     """Return the rotation that keeps `floor` of the announced slots.
 
     Equal standings give equal rotations, whatever their order.
@@ -60,13 +62,15 @@
     )
     slots = sum(standing.target.slots for standing in announced)
     kept = sum(
-        standing.target.slots for standing in announced if standing.counted
+        standing.target.slots
+        for standing in announced
+        if standing.counts_as_kept
     )
     held: set[TargetId] = set()
-    for standing in sorted(announced, key=_order_by_sickness):
+    for standing in sorted(announced, key=_order_by_severity):
         if kept >= floor * slots and (kept or not slots):
             break
-        if not standing.counted:
+        if not standing.counts_as_kept:
             held.add(standing.target.id)
             kept += standing.target.slots
     return Rotation(
@@ -77,12 +81,12 @@
     )
 
 
-def _order_by_sickness(standing: Standing) -> tuple[float, TargetId]:
-    return standing.sickness, standing.target.id
+def _order_by_severity(standing: TargetStatus) -> tuple[float, TargetId]:
+    return standing.severity, standing.target.id
 
 
 def _offer(
-    announced: tuple[Standing, ...],
+    announced: tuple[TargetStatus, ...],
     held: set[TargetId],
 ) -> tuple[Candidate, ...]:
     offered = []
@@ -92,7 +96,7 @@
             share = FULL_SHARE
         if share > 0:
             offered.append(
-                Candidate(standing.target, share, standing.watched),
+                Candidate(standing.target, share, standing.keeps_share),
             )
     offered.sort(key=_order_by_id)
     return tuple(offered)
--- a/hillfield/detection/summaries.py
+++ b/hillfield/detection/summaries.py
@@ -11,7 +11,7 @@
 from hillfield.detection.trouble import Trouble
 from hillfield.model import ServicePolicy
 
-LATE: Final = 0.99
+HIGH_PERCENTILE: Final = 0.99
 
 
 class Summary(Struct, frozen=True):
@@ -63,7 +63,7 @@
         trial.policy.late_detection_cost,
         len(times),
         _or_none(median(times)),
-        _or_none(_find_late(times)),
+        _or_none(_select_percentile(times)),
         median(found.late_share for found in measurements),
         false_ejections,
         false_ejections / (hours * trial.size.nodes),
@@ -71,8 +71,8 @@
     )
 
 
-def _find_late(times: list[float]) -> float:
-    position = int(LATE * len(times))
+def _select_percentile(times: list[float]) -> float:
+    position = int(HIGH_PERCENTILE * len(times))
     return times[min(position, len(times) - 1)]
 
 
--- a/hillfield/detection/tallies.py
+++ b/hillfield/detection/tallies.py
@@ -5,7 +5,7 @@
 
 from hillfield.detection.indicators import Weights
 
-NEGLIGIBLE: Final = 0.01
+NEGLIGIBLE_COUNT: Final = 0.01
 PRIOR_REQUESTS: Final = 1.0
 
 
@@ -42,25 +42,25 @@
             return
         self.requests += 1
         if weights.score(self.requests, self.failures) <= 0:
-            self.restart()
+            self.reset_run()
 
     @property
-    def is_counted(self) -> bool:
+    def has_counts(self) -> bool:
         """Return whether anything is worth keeping."""
-        return self.recent_requests > NEGLIGIBLE or self.failures > 0
+        return self.recent_requests > NEGLIGIBLE_COUNT or self.failures > 0
 
     @property
-    def is_blemished(self) -> bool:
+    def has_failures(self) -> bool:
         """Return whether failures are among what is kept."""
-        return self.recent_failures > NEGLIGIBLE or self.failures > 0
+        return self.recent_failures > NEGLIGIBLE_COUNT or self.failures > 0
 
-    def restart(self) -> None:
+    def reset_run(self) -> None:
         """Start a new run."""
         self.requests = 0
         self.failures = 0
         self.unanswered = 0
 
-    def forget(self, factor: float, run_factor: float) -> None:
+    def decay(self, factor: float, run_factor: float) -> None:
         """Let the recent counts and those of the run fade."""
         self.recent_requests *= factor
         self.recent_failures *= factor
@@ -69,11 +69,11 @@
         self.requests *= run_factor
         self.failures *= run_factor
         self.unanswered *= run_factor
-        if self.failures < NEGLIGIBLE:
-            self.restart()
+        if self.failures < NEGLIGIBLE_COUNT:
+            self.reset_run()
 
 
-def find_rate(tally: Tally, requests: float, failures: float) -> float:
+def compute_rate(tally: Tally, requests: float, failures: float) -> float:
     """Return how often a peer fails now, for comparison.
 
     `requests` and `failures` are what other nodes count in their runs. The
--- a/hillfield/detection/tests/test_busy_host.py
+++ b/hillfield/detection/tests/test_busy_host.py
@@ -8,7 +8,7 @@
 """
 
 from hillfield.events import EventCode
-from hillfield.detection.tests.test_board import SICK, TARGETS, Service
+from hillfield.detection.tests.test_healthdetector import SICK, TARGETS, Service
 from hillfield.routing.requests import Answered, TimedOut
 
 PEERS = tuple(target.id for target in TARGETS[1:])
--- a/hillfield/detection/tests/test_invariants.py
+++ b/hillfield/detection/tests/test_invariants.py
@@ -157,7 +157,7 @@
         assert kept >= self.policy.floor * sum(announced.values())
         assert bool(offered) == bool(announced)
         assert all(share > 0 for share in offered.values())
-        assert rotation.held <= offered.keys()
+        assert rotation.floor_held <= offered.keys()
 
     @invariant()
     def only_the_accused_are_out(self) -> None:
--- a/hillfield/detection/tests/test_sharing.py
+++ b/hillfield/detection/tests/test_sharing.py
@@ -4,7 +4,11 @@
 
 from hillfield.detection.board import HealthBoard
 from hillfield.detection.evidence import Evidence, Symptom
-from hillfield.detection.reports import MOST_NODES, Reports, Statement
+from hillfield.detection.reports import (
+    MAX_NODES,
+    EvidenceReports,
+    ReceivedEvidence,
+)
 from hillfield.model import Address, Locality, ServicePolicy, Target, TargetId
 from hillfield.routing.requests import Answered
 
@@ -90,14 +94,14 @@
 
 
 def test_number_of_reports_is_bounded():
-    reports = Reports()
+    reports = EvidenceReports()
     piece = Evidence(SICK, Symptom.WRONG, 9, 9, 1)
-    for number in range(2 * MOST_NODES):
+    for number in range(2 * MAX_NODES):
         node = str(number)
-        reports.adopt(node, (Statement(node, 'a', 0, piece),))
-    assert len(reports.about(SICK)) == MOST_NODES
+        reports.replace_report(node, (ReceivedEvidence(node, 'a', 0, piece),))
+    assert len(reports.for_target(SICK)) == MAX_NODES
     reports.expire(1)
-    assert not reports.about(SICK)
+    assert not reports.for_target(SICK)
 
 
 def test_loss_of_a_failure_domain_takes_all_its_targets_out():
--- a/hillfield/detection/rounds.py
+++ b/hillfield/detection/ticks.py
@@ -8,9 +8,9 @@
     ModelFleet,
     ModelNode,
     announce,
-    make_target,
+    build_target,
 )
-from hillfield.detection.traffic import watch
+from hillfield.detection.traffic import update_detection
 from hillfield.detection.trouble import INNOCENT, ONSET, ModelTarget, Trouble
 from hillfield.events import EventCode, Occurrence
 
@@ -19,24 +19,24 @@
 TICKS_PER_PROBE: Final = 10
 TICKS_PER_RESTART: Final = 40
 PROBE_SECONDS: Final = 0.025
-SICK: Final = frozenset(Trouble) - INNOCENT
-TAKEN_OUT: Final = frozenset(
+TARGET_FAULTS: Final = frozenset(Trouble) - INNOCENT
+REMOVAL_EVENTS: Final = frozenset(
     (EventCode.TARGET_EJECTED, EventCode.TARGET_AVOIDED),
 )
 
 
-def tick_boards(fleet: ModelFleet, number: int) -> None:
+def tick_detectors(fleet: ModelFleet, number: int) -> None:
     """Tick all boards; exchange evidence, probe and restart when due."""
     now = number * TICK
     for node in fleet.nodes:
-        for occurrence in node.board.tick(now):
+        for occurrence in node.detector.tick(now):
             _count_occurrence(fleet, node, occurrence)
-        watch(fleet, node, now)
+        update_detection(fleet, node, now)
     if number % TICKS_PER_EXCHANGE == 0:
         _exchange(fleet, now)
-    if fleet.trial.probes and number % TICKS_PER_PROBE == 0:
+    if fleet.simulation.probes and number % TICKS_PER_PROBE == 0:
         _probe(fleet, now)
-    cold = fleet.trial.trouble is Trouble.COLD_START
+    cold = fleet.simulation.trouble is Trouble.COLD_START
     if cold and now >= ONSET and number % TICKS_PER_RESTART == 0:
         _restart(fleet, now)
 
@@ -46,20 +46,23 @@
     node: ModelNode,
     occurrence: Occurrence,
 ) -> None:
-    is_sick = occurrence.target == str(fleet.sick)
-    if is_sick and (fleet.trial.trouble in SICK or node.number in fleet.cut):
+    is_sick = occurrence.target == str(fleet.faulty)
+    if is_sick and (
+        fleet.simulation.trouble in TARGET_FAULTS
+        or node.number in fleet.cut_nodes
+    ):
         fleet.avoided += occurrence.code is EventCode.TARGET_AVOIDED
         return
-    if occurrence.code in TAKEN_OUT:
+    if occurrence.code in REMOVAL_EVENTS:
         fleet.false_ejections += 1
 
 
 def _exchange(fleet: ModelFleet, now: float) -> None:
     for node in fleet.nodes:
-        evidence = node.board.evidence(now)
+        evidence = node.detector.evidence(now)
         for other in fleet.nodes:
             if other is not node:
-                other.board.adopt_evidence(
+                other.detector.adopt_evidence(
                     now,
                     f'node-{node.number}',
                     node.locality.failure_domain,
@@ -68,20 +71,22 @@
 
 
 def _probe(fleet: ModelFleet, now: float) -> None:
-    failing = fleet.trial.trouble is Trouble.FAILING_PROBES and now >= ONSET
+    failing = (
+        fleet.simulation.trouble is Trouble.FAILING_PROBES and now >= ONSET
+    )
     for node in fleet.nodes:
         for target in fleet.targets:
-            node.board.observe_probe(now, target, not failing, PROBE_SECONDS)
+            node.detector.observe_probe(now, target, not failing, PROBE_SECONDS)
 
 
 def _restart(fleet: ModelFleet, now: float) -> None:
     old = next(iter(fleet.targets))
     fleet.targets.pop(old)
     position = int(IPv4Address(old.address.ip)) - int(FIRST_ADDRESS)
-    target = make_target(fleet.trial, position, old.incarnation + 1)
+    target = build_target(fleet.simulation, position, old.incarnation + 1)
     fresh = ModelTarget(
         target,
-        fleet.trial.size.median,
+        fleet.simulation.size.median,
         Trouble.CALM,
         fleet.random,
     )
--- a/hillfield/detection/traffic.py
+++ b/hillfield/detection/traffic.py
@@ -3,35 +3,35 @@
 from heapq import heappop, heappush
 from typing import Final
 
-from hillfield.detection.modelfleet import Due, ModelFleet, ModelNode
+from hillfield.detection.modelfleet import PendingCall, ModelFleet, ModelNode
 from hillfield.detection.rotation import Candidate
-from hillfield.detection.trouble import ONSET, Call, find_rate_factor
+from hillfield.detection.trouble import ONSET, Call, compute_rate_factor
 from hillfield.model import Target
 from hillfield.routing.requests import ConnectFailed
 
-NEAR: Final = 0.0005
-FAR: Final = 0.003
+SAME_DOMAIN_ROUND_TRIP: Final = 0.0005
+CROSS_DOMAIN_ROUND_TRIP: Final = 0.003
 
 
 def run_until(fleet: ModelFleet, until: float) -> None:
     """Send what arrives and end what is due, in the order of time."""
     while True:
-        due = fleet.due[0].at if fleet.due else until
+        due = fleet.pending[0].at if fleet.pending else until
         now = min(due, fleet.next_arrival)
         if now >= until:
             return
         if due <= fleet.next_arrival:
-            _end(fleet, heappop(fleet.due))
+            _end(fleet, heappop(fleet.pending))
         else:
             _send(fleet, now)
-            factor = find_rate_factor(fleet.trial.trouble, now)
-            rate = fleet.trial.size.rate * factor
+            factor = compute_rate_factor(fleet.simulation.trouble, now)
+            rate = fleet.simulation.size.rate * factor
             fleet.next_arrival = now + fleet.random.expovariate(rate)
 
 
 def _send(fleet: ModelFleet, now: float) -> None:
     node = fleet.random.choice(fleet.nodes)
-    candidates = node.board.rotation().candidates
+    candidates = node.detector.rotation().candidates
     if not candidates:
         return
     chosen = _choose(fleet, node, candidates)
@@ -39,10 +39,10 @@
     node.in_flight[chosen.id] += 1
     call = _call(fleet, node, chosen, now)
     if not isinstance(call.observation, ConnectFailed):
-        node.board.note_started(now, chosen.id, fleet.sent)
+        node.detector.note_started(now, chosen.id, fleet.sent)
     at = call.end if call.head is None else call.head
-    due = Due(at, fleet.sent, node.number, chosen.id, call)
-    heappush(fleet.due, due)
+    due = PendingCall(at, fleet.sent, node.number, chosen.id, call)
+    heappush(fleet.pending, due)
 
 
 def _count_sent(
@@ -52,13 +52,13 @@
     now: float,
 ) -> None:
     fleet.sent += 1
-    affected = node.number in fleet.cut or not fleet.cut
-    if chosen.id != fleet.sick or not affected:
+    affected = node.number in fleet.cut_nodes or not fleet.cut_nodes
+    if chosen.id != fleet.faulty or not affected:
         return
     if fleet.detected is None:
         fleet.last_sent = now
     else:
-        fleet.sent_late += 1
+        fleet.sent_after_detection += 1
 
 
 def _call(
@@ -68,8 +68,8 @@
     now: float,
 ) -> Call:
     near = node.locality.failure_domain == chosen.locality.failure_domain
-    cut = chosen.id == fleet.sick and node.number in fleet.cut
-    path = NEAR if near else FAR
+    cut = chosen.id == fleet.faulty and node.number in fleet.cut_nodes
+    path = SAME_DOMAIN_ROUND_TRIP if near else CROSS_DOMAIN_ROUND_TRIP
     return fleet.targets[chosen.id].call(now, path, cut)
 
 
@@ -84,33 +84,33 @@
     return pair[loads[1] < loads[0]].target
 
 
-def _end(fleet: ModelFleet, due: Due) -> None:
+def _end(fleet: ModelFleet, due: PendingCall) -> None:
     node = fleet.nodes[due.node]
     if due.call.head is not None:
-        node.board.note_head(due.at, due.target, due.attempt)
+        node.detector.note_head(due.at, due.target, due.attempt)
     node.in_flight[due.target] -= 1
-    node.board.observe(due.at, due.target, due.attempt, due.call.observation)
-    watch(fleet, node, due.at)
+    node.detector.observe(due.at, due.target, due.attempt, due.call.observation)
+    update_detection(fleet, node, due.at)
 
 
-def watch(fleet: ModelFleet, node: ModelNode, now: float) -> None:
+def update_detection(fleet: ModelFleet, node: ModelNode, now: float) -> None:
     """Note when the sick target is out of rotation everywhere."""
-    rotation = node.board.rotation()
-    if rotation is node.seen:
+    rotation = node.detector.rotation()
+    if rotation is node.last_rotation:
         return
-    node.seen = rotation
+    node.last_rotation = rotation
     kept = rotation.kept_slots / max(1, rotation.announced_slots)
     fleet.least_kept = min(fleet.least_kept, kept)
-    node.sends_to_sick = any(
-        candidate.target.id == fleet.sick for candidate in rotation.candidates
+    node.sends_to_faulty = any(
+        candidate.target.id == fleet.faulty for candidate in rotation.candidates
     )
     if now < ONSET or fleet.detected is not None:
         return
     affected = [
         other
         for other in fleet.nodes
-        if other.number in fleet.cut or not fleet.cut
+        if other.number in fleet.cut_nodes or not fleet.cut_nodes
     ]
-    if not any(other.sends_to_sick for other in affected):
+    if not any(other.sends_to_faulty for other in affected):
         fleet.detected = max(ONSET, fleet.last_sent)
         fleet.sent_at_detection = fleet.sent
--- a/hillfield/detection/transitions.py
+++ b/hillfield/detection/transitions.py
@@ -5,31 +5,36 @@
 
 from hillfield.charts import Refusal
 from hillfield.detection.evidence import Symptom
-from hillfield.detection.health import CHART, REPORTS, Health, HealthTrigger
+from hillfield.detection.health import (
+    HEALTH_CHART,
+    EVENT_CODES,
+    Health,
+    HealthTrigger,
+)
 from hillfield.detection.records import TargetRecord
-from hillfield.detection.service import Service
+from hillfield.detection.service import ServiceState
 from hillfield.events import Occurrence
 
-STAGGER: Final = 1.0
-JITTER_RANGE: Final = 4294967296
-MOST_STRIKES: Final = 10
+MAX_JITTER: Final = 1.0
+CRC32_RANGE: Final = 4294967296
+MAX_RECENT_EJECTIONS: Final = 10
 
 
-def follow(
-    service: Service,
+def apply_trigger(
+    service: ServiceState,
     record: TargetRecord,
     trigger: HealthTrigger,
     now: float,
 ) -> bool:
     """Take the chart's step, if it has one, and report it."""
-    step = CHART.follow(record.health, trigger)
+    step = HEALTH_CHART.follow(record.health, trigger)
     if isinstance(step, Refusal):
         return False
     record.health = step.state
     record.since = now
-    service.changed = True
-    service.unsettled.add(record.target.id)
-    code = REPORTS.get(step.action)
+    service.rotation_outdated = True
+    service.unsettled_targets.add(record.target.id)
+    code = EVENT_CODES.get(step.action)
     if code is not None:
         service.occurrences.append(
             Occurrence(
@@ -42,47 +47,53 @@
     return True
 
 
-def take_out(
-    service: Service,
+def remove_from_rotation(
+    service: ServiceState,
     record: TargetRecord,
     trigger: HealthTrigger,
     now: float,
 ) -> None:
     """Eject or avoid a target for a time that grows with its strikes."""
-    if follow(service, record, trigger, now):
-        record.strikes = min(MOST_STRIKES, record.strikes + 1)
-        record.stage = 0
-        record.passed = 0
-        record.until = now + find_absence(service, record)
+    if apply_trigger(service, record, trigger, now):
+        record.recent_ejections = min(
+            MAX_RECENT_EJECTIONS, record.recent_ejections + 1
+        )
+        record.trial_stage = 0
+        record.consecutive_successes = 0
+        record.out_until = now + compute_absence(service, record)
 
 
-def find_absence(service: Service, record: TargetRecord) -> float:
+def compute_absence(service: ServiceState, record: TargetRecord) -> float:
     """Return for how many seconds the target is to stay out.
 
     Nodes come back at different times, so that one of them finds out first
     and the others hear of it.
     """
     tuning = service.tuning
-    least = tuning.ejection
+    least = tuning.ejection_seconds
     if record.health is Health.AVOIDED:
-        least = tuning.avoidance
-    absence = least * 2 ** (record.strikes - 1)
+        least = tuning.avoidance_seconds
+    absence = least * 2 ** (record.recent_ejections - 1)
     key = service.locality.host + str(record.target.id)
-    jitter = STAGGER * crc32(key.encode()) / JITTER_RANGE
-    return float(min(absence, tuning.longest_ejection) * (1 + jitter))
+    jitter = MAX_JITTER * crc32(key.encode()) / CRC32_RANGE
+    return float(min(absence, tuning.max_ejection_seconds) * (1 + jitter))
 
 
-def try_again(service: Service, record: TargetRecord, now: float) -> None:
+def start_trial(
+    service: ServiceState, record: TargetRecord, now: float
+) -> None:
     """Start a trial with a small share of real requests."""
-    if follow(service, record, HealthTrigger.TRY, now):
-        record.stage = 0
-        record.restart()
+    if apply_trigger(service, record, HealthTrigger.START_TRIAL, now):
+        record.trial_stage = 0
+        record.reset_counts()
 
 
-def restore(service: Service, record: TargetRecord, now: float) -> None:
+def restore_target(
+    service: ServiceState, record: TargetRecord, now: float
+) -> None:
     """Give the target its full share again."""
     record.reason = 'its trial requests succeeded'
     record.symptom = Symptom.NONE
-    record.sickness = 0
-    record.restart()
-    follow(service, record, HealthTrigger.RECOVER, now)
+    record.severity = 0
+    record.reset_counts()
+    apply_trigger(service, record, HealthTrigger.RECOVER, now)
--- a/hillfield/detection/trouble.py
+++ b/hillfield/detection/trouble.py
@@ -17,21 +17,21 @@
 )
 
 OK_STATUS: Final = 200
-WRONG: Final = Answered(OK_STATUS, wrong='prefix')
-FINE: Final = Answered(OK_STATUS)
+WRONG_ANSWER: Final = Answered(OK_STATUS, wrong='prefix')
+RIGHT_ANSWER: Final = Answered(OK_STATUS)
 ONSET: Final = 6.0
 SLOWDOWN_SECONDS: Final = 8
 FLAP_SECONDS: Final = 3
 CONNECT_SECONDS: Final = 0.2
 REQUEST_SECONDS: Final = 2.0
-SPREAD: Final = 0.4
-FEW: Final = 0.2
+LATENCY_SIGMA: Final = 0.4
+ERROR_SHARE: Final = 0.2
 BACKGROUND_ERRORS: Final = 0.001
 COLD_SECONDS: Final = 3
 FIVE_TIMES: Final = 5
 TWICE: Final = 2
-LONG_SHARE: Final = 0.1
-LONG_FACTOR: Final = 8
+SLOW_ROUTE_SHARE: Final = 0.1
+SLOW_ROUTE_FACTOR: Final = 8
 BURST_PERIOD: Final = 3
 BURST_FACTOR: Final = 8
 
@@ -103,45 +103,47 @@
             return Call(None, end, ConnectFailed('no route'))
         if self._trouble is Trouble.STALL and now >= ONSET:
             return Call(None, now + REQUEST_SECONDS, TimedOut())
-        took = self._random.lognormvariate(log(self._median), SPREAD)
+        took = self._random.lognormvariate(log(self._median), LATENCY_SIGMA)
         begun = max(now, self._free[0])
-        done = begun + took * self._find_factor(now)
+        done = begun + took * self._compute_latency_factor(now)
         heapreplace(self._free, done)
         head = done + path
         if head > now + REQUEST_SECONDS:
             return Call(None, now + REQUEST_SECONDS, TimedOut())
-        return Call(head, head, self._find_answer(now))
+        return Call(head, head, self._draw_answer(now))
 
-    def _find_factor(self, now: float) -> float:
+    def _compute_latency_factor(self, now: float) -> float:
         factor = 1
         match self._trouble:
             case Trouble.SLOW_FIVEFOLD | Trouble.LYING_PROBES:
                 factor = FIVE_TIMES
             case Trouble.SLOW_TWOFOLD:
                 factor = TWICE
-            case Trouble.MIXED_ROUTES if self._random.random() < LONG_SHARE:
-                factor = LONG_FACTOR
+            case Trouble.MIXED_ROUTES if (
+                self._random.random() < SLOW_ROUTE_SHARE
+            ):
+                factor = SLOW_ROUTE_FACTOR
             case Trouble.SLOWDOWN if now < ONSET + SLOWDOWN_SECONDS:
                 factor = FIVE_TIMES
         if now - self.started < COLD_SECONDS:
             return FIVE_TIMES
         return factor if now >= ONSET else 1
 
-    def _find_answer(self, now: float) -> Observation:
+    def _draw_answer(self, now: float) -> Observation:
         rate = BACKGROUND_ERRORS
         if now >= ONSET:
             match self._trouble:
                 case Trouble.WRONG_ALWAYS:
                     rate = 1
                 case Trouble.WRONG_SOMETIMES | Trouble.SOME_ERRORS:
-                    rate = FEW
+                    rate = ERROR_SHARE
                 case Trouble.FLAP:
                     phase = int((now - ONSET) / FLAP_SECONDS)
                     rate = 1 - phase % 2
-        return WRONG if self._random.random() < rate else FINE
+        return WRONG_ANSWER if self._random.random() < rate else RIGHT_ANSWER
 
 
-def find_rate_factor(trouble: Trouble, now: float) -> float:
+def compute_rate_factor(trouble: Trouble, now: float) -> float:
     """Return by how much more requests arrive than usual."""
     if trouble is Trouble.BURSTS and now >= ONSET:
         return BURST_FACTOR if now % BURST_PERIOD < 1 else 1
--- a/hillfield/model/structs.py
+++ b/hillfield/model/structs.py
@@ -6,7 +6,7 @@
 from msgspec.json import Encoder
 
 _ENCODER: Final = Encoder()
-_UNTOLD: Final = b',null]'
+_NULL_LAST_FIELD: Final = b',null]'
 
 
 def is_struct(kind: object) -> TypeGuard[type[Struct]]:
@@ -30,6 +30,6 @@
     (b'[1]', b'[1,2]')
     """
     coded = _ENCODER.encode(row)
-    if coded.endswith(_UNTOLD):
-        return b'%b]' % coded.removesuffix(_UNTOLD)
+    if coded.endswith(_NULL_LAST_FIELD):
+        return b'%b]' % coded.removesuffix(_NULL_LAST_FIELD)
     return coded
--- a/hillfield/timers/__init__.py
+++ b/hillfield/timers/__init__.py
@@ -1,6 +1,6 @@
 """One timer for all that a process does at times."""
 
-from hillfield.timers.reading import run_when_read, wait_until_read
+from hillfield.timers.pendingreads import run_when_read, wait_until_read
 from hillfield.timers.shared import STEP, Appointment, SharedTimer, find_timer
 
 __all__ = (
--- a/hillfield/timers/shared.py
+++ b/hillfield/timers/shared.py
@@ -20,7 +20,7 @@
 # Seconds between two steps: the shortest pause of what ticks.
 STEP: Final = 0.1
 # Part of a step by which a due time may lie behind it.
-ROUNDING: Final = 0.01
+STEP_TOLERANCE: Final = 0.01
 
 Work = Callable[[], None]
 
@@ -36,7 +36,7 @@
         self.period = period
 
     @property
-    def active(self) -> bool:
+    def is_active(self) -> bool:
         """Tell whether it has not been cancelled."""
         return self._work is not None
 
@@ -44,7 +44,7 @@
         """Do it no more."""
         self._work = None
 
-    def keep(self) -> None:
+    def run(self) -> None:
         """Do it now, unless it was cancelled."""
         if self._work is not None:
             self._work()
@@ -55,7 +55,7 @@
 
     def __init__(self, loop: AbstractEventLoop) -> None:
         """Count steps from now."""
-        self._home = ref(loop)
+        self._loop_reference = ref(loop)
         self._origin = loop.time()
         self._queue: list[tuple[int, int, Appointment]] = []
         self._count = 0
@@ -64,9 +64,9 @@
         self._armed: ReferenceType[TimerHandle] | None = None
         self._next = 0
 
-    def is_of(self, loop: AbstractEventLoop) -> bool:
+    def belongs_to(self, loop: AbstractEventLoop) -> bool:
         """Tell whether it keeps the appointments of this loop."""
-        return self._home() is loop
+        return self._loop_reference() is loop
 
     def every(self, seconds: float, work: Work) -> Appointment:
         """Do work again and again, first after that time."""
@@ -77,17 +77,17 @@
         """Do work once, at the first step that is no sooner."""
         passed = get_running_loop().time() - self._origin
         due = (passed + seconds) / STEP
-        return self._add(ceil(due - ROUNDING), Appointment(work))
+        return self._add(ceil(due - STEP_TOLERANCE), Appointment(work))
 
     async def pause(self, seconds: float) -> None:
         """Return at the first step that is no sooner."""
         ended = get_running_loop().create_future()
-        self.after(seconds, partial(_end, ended))
+        self.after(seconds, partial(_resolve, ended))
         await ended
 
     def _now(self) -> int:
         passed = get_running_loop().time() - self._origin
-        return floor(passed / STEP + ROUNDING)
+        return floor(passed / STEP + STEP_TOLERANCE)
 
     def _add(self, step: int, appointment: Appointment) -> Appointment:
         self._count += 1
@@ -102,25 +102,25 @@
             armed.cancel()
         self._next = self._queue[0][0]
         due = self._origin + self._next * STEP
-        self._armed = ref(get_running_loop().call_at(due, self._run))
+        self._armed = ref(get_running_loop().call_at(due, self._run_due))
 
-    def _run(self) -> None:
+    def _run_due(self) -> None:
         self._armed = None
         now = self._now()
         due: list[Appointment] = []
         while self._queue and self._queue[0][0] <= now:
             due.append(heappop(self._queue)[-1])
         for appointment in due:
-            if appointment.active:
-                self._keep(appointment)
-            if appointment.active and appointment.period:
+            if appointment.is_active:
+                self._run_call(appointment)
+            if appointment.is_active and appointment.period:
                 self._add(now + appointment.period, appointment)
         if self._queue and self._armed is None:
             self._arm()
 
-    def _keep(self, appointment: Appointment) -> None:
+    def _run_call(self, appointment: Appointment) -> None:
         try:
-            appointment.keep()
+            appointment.run()
         except Exception as error:
             get_running_loop().call_exception_handler(
                 {'message': 'shared timer: work failed', 'exception': error},
@@ -136,12 +136,12 @@
     """Return the timer of the running loop."""
     loop = get_running_loop()
     timer = _TIMERS.get(id(loop))
-    if timer is None or not timer.is_of(loop):
+    if timer is None or not timer.belongs_to(loop):
         timer = SharedTimer(loop)
         _TIMERS[id(loop)] = timer
     return timer
 
 
-def _end(ended: Future[None]) -> None:
+def _resolve(ended: Future[None]) -> None:
     if not ended.done():
         ended.set_result(None)
