--- a/hillfield/detection/aging.py
+++ b/hillfield/detection/aging.py
@@ -1,19 +1,19 @@
-"""Changes that time alone brings."""
+"""Changes of targets that the passing of time causes."""
 
 from typing import Final
 
-from hillfield.detection.evidence import Symptom
 from hillfield.detection.decay import decay_counts, is_idle
+from hillfield.detection.evaluation import clear_suspicion, evaluate_target
+from hillfield.detection.evidence import Symptom
 from hillfield.detection.health import OUT_OF_ROTATION, Health, HealthTrigger
 from hillfield.detection.records import TargetRecord, update_warmup
 from hillfield.detection.rotation import FULL_SHARE
 from hillfield.detection.service import ServiceState, update_weights
 from hillfield.detection.transitions import (
-    compute_absence,
     apply_trigger,
+    compute_absence,
     start_trial,
 )
-from hillfield.detection.evaluation import clear_suspicion, evaluate_target
 
 DECAYS_PER_HALF_LIFE: Final = 5
 MIN_SUSPICION_SECONDS: Final = 1
@@ -21,7 +21,7 @@
 
 
 def advance_time(service: ServiceState, now: float) -> None:
-    """Bring the service to the present time."""
+    """Decay the counts and advance the targets' states up to now."""
     service.demand.advance(now)
     interval = service.tuning.half_life / DECAYS_PER_HALF_LIFE
     if now - service.decayed_at >= interval and not is_idle(service):
@@ -69,17 +69,17 @@
     healthy: bool,
     now: float,
 ) -> None:
-    """Let a probe bring a trial forward or put it off."""
+    """Bring a trial forward or put it off after a probe."""
     record.failed_probes = 0 if healthy else record.failed_probes + 1
     if record.health not in OUT_OF_ROTATION:
         return
     if not healthy:
-        # Probes may lie, so they can put a trial off but not prevent it.
+        # Probes may be wrong: they put a trial off but cannot prevent it.
         latest = record.since + 2 * compute_absence(service, record)
-        put_off = min(now + PROBE_DELAY_SECONDS, latest)
-        record.out_until = max(record.out_until, put_off)
+        delayed = min(now + PROBE_DELAY_SECONDS, latest)
+        record.out_until = max(record.out_until, delayed)
     elif record.symptom is Symptom.UNREACHABLE:
-        # It can be reached again; whether it works, only requests can tell.
+        # It can be reached again; only requests show whether it works.
         soonest = record.since + service.tuning.avoidance_seconds
         record.out_until = min(record.out_until, max(now, soonest))
 
@@ -97,8 +97,8 @@
 def _reduce_ejections(
     service: ServiceState, record: TargetRecord, now: float
 ) -> None:
-    served = now - max(record.since, record.ejections_reduced_at)
-    if served >= service.tuning.seconds_per_ejection:
+    healthy_seconds = now - max(record.since, record.ejections_reduced_at)
+    if healthy_seconds >= service.tuning.seconds_per_ejection:
         record.recent_ejections -= 1
         record.ejections_reduced_at = now
 
--- a/hillfield/detection/announcing.py
+++ b/hillfield/detection/announcing.py
@@ -1,4 +1,4 @@
-"""Take the announced targets over."""
+"""Adopt the announced targets of a service."""
 
 from collections import Counter
 
@@ -15,14 +15,14 @@
     targets: tuple[Target, ...],
     now: float,
 ) -> None:
-    """Replace the announced targets; a new incarnation starts anew."""
+    """Replace the announced targets; new incarnations get new records."""
     known = service.records
-    first = not known
+    is_first = not known
     service.records = {}
     for target in targets:
         record = known.get(target.id)
         if record is None:
-            record = _create_record(service, target, now, first)
+            record = _create_record(service, target, now, is_first)
         service.records[target.id] = record
         service.unsettled_targets.add(target.id)
         service.rotation_outdated |= record.target != target
@@ -40,12 +40,12 @@
     service: ServiceState,
     target: Target,
     now: float,
-    first: bool,
+    is_first: bool,
 ) -> TargetRecord:
     distance = classify_distance(service.locality, target.locality)
     record = TargetRecord(target, now, now, distance)
-    if first and target.state is not TargetState.COLD:
-        # At a node's start all are new to it: none is to be spared.
+    if is_first and target.state is not TargetState.COLD:
+        # When a node starts, all targets are new to it: none warms up.
         apply_trigger(service, record, HealthTrigger.WARM, now)
     return record
 
--- a/hillfield/detection/attempts.py
+++ b/hillfield/detection/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts in flight, so that a stall shows before it times out."""
+"""Attempts in flight, to detect a stall before it times out."""
 
 from dataclasses import dataclass
 from itertools import chain
@@ -9,10 +9,11 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """Hold an attempt that has no answer yet; `limits_passed` counts limits.
+    """Hold an attempt that has no answer yet.
 
-    `aged_from` is the moment from which its age counts: later than its start
-    by the seconds in which this node read no answers.
+    `limits_passed` is how many latency limits it has passed. `aged_from` is
+    the time from which its age counts: later than its start by the seconds
+    in which this node read no answers.
     """
 
     target: TargetId
@@ -24,8 +25,8 @@
 class AttemptsInFlight:
     """Keep attempts in the order of their start.
 
-    Attempts move on when they pass a limit, so each is looked at a few
-    times only, however long it hangs.
+    An attempt moves to the next stage when it passes a limit, so that it is
+    checked a few times only, however long it hangs.
     """
 
     def __init__(self) -> None:
@@ -59,7 +60,7 @@
         return None
 
     def collect_overdue(self, now: float, limits: Limits) -> list[Attempt]:
-        """Return attempts that have just passed a limit, with its number."""
+        """Return the attempts that have just passed a limit."""
         passed: list[Attempt] = []
         before = now - limits.hung
         _move(self._very_slow, self._hung, before, passed)
--- a/hillfield/detection/baseline.py
+++ b/hillfield/detection/baseline.py
@@ -1,9 +1,8 @@
-"""A plain way of detection to measure against.
+"""A simple detector, the baseline that measurements compare with.
 
 Five consecutive errors or three failed probes take a target out for 30 s; a
-probe that succeeds brings it back.
-It has no floor, looks at no latency and hears no other node; it is never
-the default.
+probe that succeeds brings it back. It has no floor, disregards latency and
+uses no evidence of other nodes; it is never the default.
 """
 
 from dataclasses import dataclass
@@ -56,7 +55,7 @@
         self._now: float = 0
 
     def adopt_policy(self, now: float, policy: ServicePolicy) -> None:
-        """Take the policy; nothing of it matters here."""
+        """Store the policy; this detector uses nothing of it."""
         self._policy = policy
 
     def adopt_targets(self, now: float, targets: tuple[Target, ...]) -> None:
@@ -97,7 +96,7 @@
         healthy: bool,
         seconds: float,
     ) -> None:
-        """Believe the probe."""
+        """Eject after failed probes, return the target after a good one."""
         record = self._records.get(target)
         if record is None:
             return
@@ -116,7 +115,7 @@
     def rotation(self) -> Rotation:
         """Return the targets that are not ejected."""
         if self._rotation is None:
-            standings = tuple(
+            statuses = tuple(
                 TargetStatus(
                     record.target,
                     float(_is_in_service(record, self._now)),
@@ -124,7 +123,7 @@
                 )
                 for record in self._records.values()
             )
-            self._rotation = build_rotation(standings, 0)
+            self._rotation = build_rotation(statuses, 0)
         return self._rotation
 
     def tick(self, now: float) -> tuple[Occurrence, ...]:
@@ -134,7 +133,7 @@
         return self.take_occurrences()
 
     def explain(self, now: float) -> tuple[TargetExplanation, ...]:
-        """Explain the treatment of each target."""
+        """Explain why each target does or does not receive work."""
         return tuple(
             TargetExplanation(
                 target,
--- a/hillfield/detection/board.py
+++ b/hillfield/detection/board.py
@@ -1,5 +1,6 @@
-"""Judge the targets of one service at one node."""
+"""Detect unhealthy targets of one service at one node."""
 
+from hillfield.detection.aging import advance_time, apply_probe
 from hillfield.detection.announcing import replace_targets
 from hillfield.detection.evidence import Evidence
 from hillfield.detection.explaining import explain_targets, report_floor_held
@@ -7,17 +8,16 @@
 from hillfield.detection.health import Health
 from hillfield.detection.lateness import (
     AttemptTracker,
-    count_timeout,
     count_overdue,
+    count_timeout,
     is_counted_as_late,
 )
+from hillfield.detection.observations import count_observation
 from hillfield.detection.records import build_status
 from hillfield.detection.reports import ReceivedEvidence
 from hillfield.detection.rotation import Rotation, build_rotation
 from hillfield.detection.service import ServiceState
 from hillfield.detection.sharing import receive_evidence, select_evidence
-from hillfield.detection.observations import count_observation
-from hillfield.detection.aging import advance_time, apply_probe
 from hillfield.detection.tuning import DEFAULT_TUNING, Tuning
 from hillfield.events import Occurrence
 from hillfield.model import Locality, ServicePolicy, Target, TargetId
@@ -31,7 +31,7 @@
 
 
 class HealthBoard(AttemptTracker):
-    """Judge targets by real requests against their peers.
+    """Compare the real requests of each target with those of its peers.
 
     Pure: all times are seconds of one monotonic clock that the caller reads.
     """
@@ -49,12 +49,12 @@
         self._now: float = 0
 
     def adopt_policy(self, now: float, policy: ServicePolicy) -> None:
-        """Take a new policy into force."""
+        """Apply a new policy."""
         self._service.policy = policy
         self._service.rotation_outdated = True
 
     def adopt_targets(self, now: float, targets: tuple[Target, ...]) -> None:
-        """Replace the announced targets; call with draining ones at once."""
+        """Replace the announced targets; call at once when one drains."""
         self._now = now
         replace_targets(self._service, targets, now)
 
@@ -65,7 +65,7 @@
         attempt: int,
         observation: Observation,
     ) -> None:
-        """Note how an attempt ended."""
+        """Record how an attempt ended."""
         self._now = now
         if isinstance(observation, Answered) and not observation.wrong:
             self.note_head(now, target, attempt)
@@ -73,8 +73,8 @@
         record = self._service.records.get(target)
         if record is None:
             return
-        unwritten = isinstance(observation, ConnectFailed | NothingWritten)
-        if record.health is Health.TRIAL and not unwritten:
+        is_unwritten = isinstance(observation, ConnectFailed | NothingWritten)
+        if record.health is Health.TRIAL and not is_unwritten:
             if attempt not in record.trial_attempts:
                 return
         record.trial_attempts.discard(attempt)
@@ -91,14 +91,18 @@
         healthy: bool,
         seconds: float,
     ) -> None:
-        """Note what a probe found: at most a suspicion or a sooner trial."""
+        """Record what a probe found.
+
+        Probes never take a target out of rotation by themselves: they lower
+        its threshold or move its next trial.
+        """
         record = self._service.records.get(target)
         if record is None:
             return
         apply_probe(self._service, record, healthy, now)
 
     def rotation(self) -> Rotation:
-        """Return the targets that may receive work, never under the floor."""
+        """Return the targets that may receive work, at least the floor."""
         service = self._service
         if service.rotation_outdated:
             service.rotation_outdated = False
@@ -112,7 +116,7 @@
         return self._rotation
 
     def tick(self, now: float) -> tuple[Occurrence, ...]:
-        """Return what has changed since the last tick; call each 0.1 s."""
+        """Return the changes since the last tick; call it every 0.1 s."""
         service = self._service
         self._now = now
         count_overdue(service, now)
@@ -126,7 +130,7 @@
         return occurrences
 
     def evidence(self, now: float) -> tuple[Evidence, ...]:
-        """Return what to tell other nodes; empty when all is well."""
+        """Return evidence for other nodes; empty when all are healthy."""
         return select_evidence(self._service, now)
 
     def adopt_evidence(
@@ -136,13 +140,13 @@
         domain: str,
         evidence: tuple[Evidence, ...],
     ) -> None:
-        """Replace what that node, of that failure domain, has told."""
+        """Replace the evidence of that node, in that failure domain."""
         self._now = now
-        statements = tuple(
+        received = tuple(
             ReceivedEvidence(node, domain, now, piece) for piece in evidence
         )
-        receive_evidence(self._service, node, statements, now)
+        receive_evidence(self._service, node, received, now)
 
     def explain(self, now: float) -> tuple[TargetExplanation, ...]:
-        """Explain the treatment of each target."""
+        """Explain why each target does or does not receive work."""
         return explain_targets(self._service, self.rotation())
--- a/hillfield/detection/boards.py
+++ b/hillfield/detection/boards.py
@@ -1,4 +1,4 @@
-"""The surface that every way of detection has."""
+"""The interface of detectors of unhealthy targets."""
 
 from typing import Protocol
 
@@ -11,19 +11,19 @@
 
 
 class Board(Protocol):
-    """Judge the targets of one service at one node; times are seconds."""
+    """Decide which targets of a service are healthy; times are seconds."""
 
     def adopt_policy(self, now: float, policy: ServicePolicy) -> None:
-        """Take a new policy into force."""
+        """Apply a new policy."""
 
     def adopt_targets(self, now: float, targets: tuple[Target, ...]) -> None:
         """Replace the announced targets."""
 
     def note_started(self, now: float, target: TargetId, attempt: int) -> None:
-        """Note that an attempt is about to be written."""
+        """Record that an attempt is about to be written."""
 
     def note_head(self, now: float, target: TargetId, attempt: int) -> None:
-        """Note that the head of the attempt's answer has come."""
+        """Record that the head of the attempt's answer was received."""
 
     def observe(
         self,
@@ -32,7 +32,7 @@
         attempt: int,
         observation: Observation,
     ) -> None:
-        """Note how an attempt ended."""
+        """Record how an attempt ended."""
 
     def observe_probe(
         self,
@@ -41,22 +41,22 @@
         healthy: bool,
         seconds: float,
     ) -> None:
-        """Note what a probe found."""
+        """Record what a probe found."""
 
     def excuse(self, now: float, seconds: float) -> None:
-        """Hold no silence of the last seconds against targets.
+        """Leave the last seconds out of the age of attempts in flight.
 
-        This node read nothing in them.
+        This node read no answers during them.
         """
 
     def rotation(self) -> Rotation:
         """Return the targets that may receive work."""
 
     def tick(self, now: float) -> tuple[Occurrence, ...]:
-        """Return what has changed since the last tick; call each 0.1 s."""
+        """Return the changes since the last tick; call it every 0.1 s."""
 
     def evidence(self, now: float) -> tuple[Evidence, ...]:
-        """Return what to tell other nodes."""
+        """Return the evidence to send to other nodes."""
 
     def adopt_evidence(
         self,
@@ -65,7 +65,7 @@
         domain: str,
         evidence: tuple[Evidence, ...],
     ) -> None:
-        """Replace what that node has told earlier."""
+        """Replace the evidence that the node sent earlier."""
 
     def explain(self, now: float) -> tuple[TargetExplanation, ...]:
-        """Explain the treatment of each target."""
+        """Explain why each target does or does not receive work."""
--- a/hillfield/detection/decay.py
+++ b/hillfield/detection/decay.py
@@ -1,4 +1,4 @@
-"""Count failures, and forget old counts."""
+"""Count failures, and let old counts decay."""
 
 from operator import attrgetter
 from typing import Final
@@ -14,7 +14,7 @@
 
 
 def decay_counts(service: ServiceState, now: float) -> None:
-    """Forget old counts, more slowly where there is little traffic."""
+    """Let old counts decay, more slowly when there is little traffic."""
     elapsed = min(now - service.decayed_at, service.tuning.max_half_life)
     service.decayed_at = now
     factor = float(0.5 ** (elapsed / _select_half_life(service)))
@@ -54,7 +54,7 @@
 
 
 def is_idle(service: ServiceState) -> bool:
-    """Return whether nothing is counted, told or waited for."""
+    """Return whether there are no counts, attempts or reports."""
     return not (
         service.counted_targets
         or len(service.attempts)
--- a/hillfield/detection/demand.py
+++ b/hillfield/detection/demand.py
@@ -1,4 +1,4 @@
-"""Tell a burst of requests from the usual demand."""
+"""Distinguish a burst of requests from the usual demand."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -17,12 +17,12 @@
 
 @dataclass(slots=True)
 class Demand:
-    """Compare the requests of the last second with the usual ones.
+    """Compare the requests of about the last second with the usual demand.
 
-    `recent` is a count that fades, `baseline` its value outside bursts: it
-    falls quickly and rises slowly, so that bursts never become usual. `active_seconds`
-    is for how many seconds there has been work: what came before says
-    nothing, and after idleness the usual is learnt anew.
+    `recent` is a count that decays, `baseline` its value outside bursts: it
+    falls quickly and rises slowly, so that bursts never become usual.
+    `active_seconds` is for how long there have been requests: the baseline
+    is learnt anew after an idle time.
     """
 
     recent: float = 0
@@ -36,20 +36,20 @@
         self.recent += 1
 
     def advance(self, now: float) -> None:
-        """Let the count fade up to now."""
+        """Decay the count and adjust the baseline up to now."""
         elapsed = 0 if self.advanced_at is None else now - self.advanced_at
         self.advanced_at = now
         self._track_activity(elapsed)
         seconds = RISE_SECONDS if self.recent > self.baseline else FALL_SECONDS
         if self.active_seconds < LEARNING_SECONDS:
-            # Too young to know what is usual.
+            # Not active for long enough to know the baseline.
             seconds = 1
         weight = min(1, elapsed / seconds)
         self.baseline += (self.recent - self.baseline) * weight
         self.recent *= float(HALF ** (elapsed / HALF_LIFE))
 
     def estimate_late_share(self) -> float:
-        """Return the share of late answers that the demand explains."""
+        """Return the share of late answers that a burst would explain."""
         if self.recent < MIN_COUNT or self.active_seconds < LEARNING_SECONDS:
             return 0
         factor = self.recent / max(1, self.baseline)
--- a/hillfield/detection/descriptions.py
+++ b/hillfield/detection/descriptions.py
@@ -1,4 +1,4 @@
-"""Evidence in words."""
+"""Descriptions of evidence for people."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -11,7 +11,7 @@
         Symptom.NONE: 'failed',
         Symptom.SLOW: 'were much slower than at its peers',
         Symptom.WRONG: 'were answered wrongly',
-        Symptom.BROKEN: 'broke off',
+        Symptom.BROKEN: 'were cut off',
         Symptom.STALLED: 'hung without an answer',
         Symptom.UNREACHABLE: 'found no connection',
     },
@@ -24,12 +24,12 @@
     failures: float,
     nodes: int,
 ) -> str:
-    """Say what was counted.
+    """Describe the counts behind a decision.
 
     >>> describe(Symptom.WRONG, 4, 3, 2)
     '3 of 4 requests were answered wrongly, as 2 nodes saw it'
     """
-    seen = 'this node' if nodes < 2 else f'{nodes} nodes'
-    asked = max(1, round(requests))
+    observers = 'this node' if nodes < 2 else f'{nodes} nodes'
+    total = max(1, round(requests))
     failed = max(1, round(failures))
-    return f'{failed} of {asked} requests {PHRASES[symptom]}, as {seen} saw it'
+    return f'{failed} of {total} requests {PHRASES[symptom]}, as {observers} saw it'
--- a/hillfield/detection/evaluation.py
+++ b/hillfield/detection/evaluation.py
@@ -1,7 +1,8 @@
-"""Decide from counts whether a target is sick, and for whom."""
+"""Decide from counts whether to suspect, eject or avoid a target."""
 
 from typing import Final
 
+from hillfield.detection.descriptions import describe
 from hillfield.detection.evidence import Symptom
 from hillfield.detection.health import Health, HealthTrigger
 from hillfield.detection.indicators import Indicator
@@ -18,11 +19,13 @@
     update_weights,
 )
 from hillfield.detection.transitions import apply_trigger, remove_from_rotation
-from hillfield.detection.descriptions import describe
 
+# Shares of the threshold at which a target on trial is ejected, a healthy one
+# becomes suspected and a suspected one is cleared.
 TRIAL_THRESHOLD_FACTOR: Final = 1 / 3
 SUSPICION_FACTOR: Final = 0.5
 CLEARING_FACTOR: Final = 0.25
+# Seconds.
 MAX_WEIGHTS_AGE: Final = 0.05
 MIN_FAILED_PROBES: Final = 2
 
@@ -30,32 +33,35 @@
 def evaluate_target(
     service: ServiceState, record: TargetRecord, now: float
 ) -> None:
-    """Decide on a target after a failure or after news of it."""
+    """Suspect, eject or avoid the target if the counts call for it."""
     if record.health is Health.EJECTED or record.health is Health.DRAINING:
         return
-    pool = _find_worst_counts(service, record, now)
-    if pool.margin >= 0 and now - service.weights_updated_at > MAX_WEIGHTS_AGE:
+    counts = _find_worst_counts(service, record, now)
+    if (
+        counts.margin >= 0
+        and now - service.weights_updated_at > MAX_WEIGHTS_AGE
+    ):
         update_weights(service, now)
-        pool = _find_worst_counts(service, record, now)
-    if pool.margin >= 0 and not _is_too_soon(service, record, pool, now):
-        _eject_or_avoid(service, record, pool, now)
+        counts = _find_worst_counts(service, record, now)
+    if counts.margin >= 0 and not _is_too_soon(service, record, counts, now):
+        _eject_or_avoid(service, record, counts, now)
     elif record.health is Health.HEALTHY:
-        if pool.margin >= -SUSPICION_FACTOR * service.threshold:
-            _record_reason(service, record, pool)
+        if counts.margin >= -SUSPICION_FACTOR * service.threshold:
+            _record_reason(service, record, counts)
             apply_trigger(service, record, HealthTrigger.SUSPECT, now)
 
 
 def _is_too_soon(
     service: ServiceState,
     record: TargetRecord,
-    pool: PooledCounts,
+    counts: PooledCounts,
     now: float,
 ) -> bool:
-    # Requests that queue behind each other are late together, so many late
-    # ones at once say little more than one of them. Errors wait for a moment
-    # too: others may be about to tell that all targets fail.
+    # Requests that queue behind each other are late together, so several late
+    # ones at once are little more evidence than one. Errors must last for a
+    # moment too: other nodes may be about to report that all targets fail.
     wait = service.tuning.error_persistence
-    if pool.indicator in LATENCY_INDICATORS:
+    if counts.indicator in LATENCY_INDICATORS:
         wait = service.tuning.latency_persistence
     if record.health is Health.SUSPECTED:
         return now - record.since < wait
@@ -65,20 +71,20 @@
 def clear_suspicion(
     service: ServiceState, record: TargetRecord, now: float
 ) -> None:
-    """Drop a suspicion that has come to nothing."""
+    """End a suspicion that the counts no longer support."""
     if _has_own_failures(service, record):
         return
-    pool = _find_worst_counts(service, record, now)
-    if pool.margin < (CLEARING_FACTOR - 1) * service.threshold:
+    counts = _find_worst_counts(service, record, now)
+    if counts.margin < (CLEARING_FACTOR - 1) * service.threshold:
         apply_trigger(service, record, HealthTrigger.CLEAR, now)
         record.symptom = Symptom.NONE
 
 
 def _has_own_failures(service: ServiceState, record: TargetRecord) -> bool:
-    """Tell whether the target's own requests still speak against it.
+    """Return whether this node's own counts still speak against the target.
 
-    By the plain weights: that the peers are late at the moment does not
-    make its own answers good.
+    They are scored by the base weights: that peers are late at the moment
+    does not make the target's own answers good.
     """
     bound = SUSPICION_FACTOR * service.threshold
     return any(
@@ -90,27 +96,27 @@
 def _eject_or_avoid(
     service: ServiceState,
     record: TargetRecord,
-    pool: PooledCounts,
+    counts: PooledCounts,
     now: float,
 ) -> None:
-    _record_reason(service, record, pool)
-    on_path = pool.path_failures >= pool.failures / 2
-    local = on_path and not pool.confirmed
+    _record_reason(service, record, counts)
+    on_path = counts.path_failures >= counts.failures / 2
+    local = on_path and not counts.confirmed
     trigger = HealthTrigger.AVOID if local else HealthTrigger.EJECT
     remove_from_rotation(service, record, trigger, now)
 
 
 def _record_reason(
-    service: ServiceState, record: TargetRecord, pool: PooledCounts
+    service: ServiceState, record: TargetRecord, counts: PooledCounts
 ) -> None:
-    rate = pool.failures / max(1, pool.requests)
-    record.symptom = pool.symptom
-    record.severity = compute_severity(pool.symptom, rate)
+    rate = counts.failures / max(1, counts.requests)
+    record.symptom = counts.symptom
+    record.severity = compute_severity(counts.symptom, rate)
     record.reason = describe(
-        pool.symptom,
-        pool.requests,
-        pool.failures,
-        len(pool.nodes),
+        counts.symptom,
+        counts.requests,
+        counts.failures,
+        len(counts.nodes),
     )
 
 
@@ -123,12 +129,12 @@
     worst = pool_own_counts(service, record, Indicator.UNREACHABLE)
     worst.margin = -threshold
     for indicator in Indicator:
-        company = service.excess_suspects[indicator]
-        bound = threshold + service.tuning.suspect_penalty * company
-        pool = _score_counts(service, record, indicator, now)
-        pool.margin -= bound
-        if pool.margin > worst.margin:
-            worst = pool
+        excess = service.excess_suspects[indicator]
+        bound = threshold + service.tuning.suspect_penalty * excess
+        counts = _score_counts(service, record, indicator, now)
+        counts.margin -= bound
+        if counts.margin > worst.margin:
+            worst = counts
     return worst
 
 
@@ -141,12 +147,12 @@
     weights = service.weights[indicator]
     own = pool_own_counts(service, record, indicator)
     own.margin = weights.score(own.requests, own.failures)
-    statements = service.reports.for_target(record.target.id)
-    if not statements:
+    received = service.reports.for_target(record.target.id)
+    if not received:
         return own
-    joint = pool_all_counts(service, record, indicator, statements, now)
-    doubt = service.tuning.node_penalty * (len(joint.nodes) - 1)
-    joint.margin = weights.score(joint.requests, joint.failures) - doubt
+    joint = pool_all_counts(service, record, indicator, received, now)
+    penalty = service.tuning.node_penalty * (len(joint.nodes) - 1)
+    joint.margin = weights.score(joint.requests, joint.failures) - penalty
     own.confirmed = joint.confirmed
     if joint.confirmed and joint.margin > own.margin:
         return joint
@@ -167,7 +173,7 @@
 
 
 def _are_probes_plausible(service: ServiceState) -> bool:
-    # Probes that fail at many targets say something of the probes.
+    # Probes that fail at many targets point to a fault of the probes.
     failing = sum(map(_fails_probes, service.records.values()))
     return failing <= service.tuning.max_failing_probe_share * len(
         service.records
--- a/hillfield/detection/evidence.py
+++ b/hillfield/detection/evidence.py
@@ -1,4 +1,4 @@
-"""What one node tells the others of a target."""
+"""The evidence on a target that nodes send each other."""
 
 from enum import StrEnum
 
@@ -8,7 +8,7 @@
 
 
 class Symptom(StrEnum):
-    """Name what is wrong with a target as one node sees it."""
+    """Name the symptom of a target as one node observes it."""
 
     NONE = 'none'
     SLOW = 'slow'
@@ -19,7 +19,7 @@
 
 
 class Evidence(Struct, frozen=True):
-    """Sum up one node's recent view of one target.
+    """Summarize one node's recent requests to one target.
 
     `requests` and `failures` count over the last few seconds, `slowness` is
     the target's latency divided by that of the service's other targets.
--- a/hillfield/detection/explaining.py
+++ b/hillfield/detection/explaining.py
@@ -1,4 +1,4 @@
-"""Explain why targets do or don't receive work."""
+"""Explain why targets do or do not receive work."""
 
 from hillfield.detection.explanations import TargetExplanation
 from hillfield.detection.health import IN_SERVICE, Health
@@ -13,7 +13,7 @@
     service: ServiceState,
     rotation: Rotation,
 ) -> tuple[TargetExplanation, ...]:
-    """Explain the treatment of each target, in the order of their names."""
+    """Explain each target's state and share, ordered by target."""
     shares = {
         candidate.target.id: candidate.share
         for candidate in rotation.candidates
@@ -37,7 +37,7 @@
     earlier: Rotation,
     later: Rotation,
 ) -> None:
-    """Report the targets that the floor has begun to hold."""
+    """Report the targets that the floor has begun to keep in rotation."""
     for target in sorted(later.floor_held - earlier.floor_held):
         record = service.records.get(target)
         if record is None:
@@ -59,7 +59,7 @@
 def _describe_reason(record: TargetRecord) -> str:
     match record.health:
         case Health.WARMING:
-            return 'newly announced or cold: its share grows'
+            return 'recently announced or cold: its share grows'
         case Health.DRAINING:
             return 'it announced that it is leaving'
     if record.health in IN_SERVICE and record.health is Health.HEALTHY:
--- a/hillfield/detection/explanations.py
+++ b/hillfield/detection/explanations.py
@@ -1,4 +1,4 @@
-"""Why a target does or doesn't receive work."""
+"""Explanation of why a target does or does not receive work."""
 
 from msgspec import Struct
 
@@ -7,11 +7,11 @@
 
 
 class TargetExplanation(Struct, frozen=True):
-    """Explain the treatment of one target.
+    """Explain the state of one target.
 
     `since` is when its state began (monotonic seconds of this node), `share`
     what it receives of a healthy target's work (0: none), `floor_held` that
-    it is sick and only the floor keeps it in rotation.
+    it is unhealthy and only the floor keeps it in rotation.
     """
 
     target: TargetId
--- a/hillfield/detection/health.py
+++ b/hillfield/detection/health.py
@@ -1,4 +1,4 @@
-"""The chart of a target's health and its words."""
+"""The state chart of a target's health, its triggers and actions."""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -11,7 +11,7 @@
 
 
 class Health(StrEnum):
-    """Name the state of a target as one node judges it."""
+    """Name the state of a target as one node sees it."""
 
     WARMING = 'warming'
     HEALTHY = 'healthy'
@@ -23,7 +23,7 @@
 
 
 class HealthTrigger(StrEnum):
-    """Name what can change a target's health."""
+    """Name a cause of a change of a target's health."""
 
     WARM = 'warm'
     SUSPECT = 'suspect'
@@ -37,7 +37,7 @@
 
 
 class HealthAction(StrEnum):
-    """Name what to report with a change."""
+    """Name the event that reports a change."""
 
     NONE = 'none'
     REPORT_SUSPECTED = 'report-suspected'
--- a/hillfield/detection/indicators.py
+++ b/hillfield/detection/indicators.py
@@ -1,9 +1,9 @@
-"""What is counted of each request and how much a count weighs.
+"""Indicators counted for each request, and the weights of the counts.
 
 Each indicator is a yes or no per request. A target is tested against its
 peers: the null hypothesis is that it fails as often as they do now, the
-alternative that it fails more often by `gap` of what is left to 1. What all
-targets of a service suffer raises the null rate and accuses nobody.
+alternative that it fails more often by `gap` of what is left to 1. A fault
+that all targets of a service share raises the null rate and ejects none.
 """
 
 from collections.abc import Iterable
@@ -19,7 +19,7 @@
 
 
 class Indicator(IntEnum):
-    """Name what may go wrong with a request."""
+    """Name a way in which a request can fail."""
 
     UNREACHABLE = 0
     ERROR = 1
@@ -29,7 +29,7 @@
 
 
 class Hypotheses(Struct, frozen=True):
-    """Hold the least null rate and the gap to the alternative."""
+    """Hold the lowest null rate and the gap to the alternative."""
 
     min_null_rate: float
     gap: float
@@ -71,22 +71,23 @@
 NO_WEIGHTS: Final = Weights(0, 0)
 
 
-def compute_weights(hypotheses: Hypotheses, usual: float) -> Weights:
-    """Return the weights when peers fail at the rate `usual`."""
-    null = hypotheses.min_null_rate + usual
+def compute_weights(hypotheses: Hypotheses, peer_rate: float) -> Weights:
+    """Return the weights when peers fail at this rate."""
+    null = hypotheses.min_null_rate + peer_rate
     if null > MAX_NULL_RATE:
-        # Where most requests fail at the peers too, failures tell nothing.
+        # Where most requests fail at the peers too, failures are no evidence.
         return NO_WEIGHTS
-    room = 1 - null
-    sick = null + hypotheses.gap * room
-    failure = log(sick / null)
-    return Weights(failure, log((1 - sick) / room))
+    success_rate = 1 - null
+    alternative = null + hypotheses.gap * success_rate
+    failure = log(alternative / null)
+    return Weights(failure, log((1 - alternative) / success_rate))
 
 
 def estimate_peer_rate(rates: Iterable[float], tuning: Tuning) -> float:
     """Return the failure rate of the better part of the peers.
 
-    The worst are left out, so that a sick minority doesn't hide itself.
+    The worst are left out, so that an unhealthy minority doesn't raise the
+    rate it is compared with.
 
     >>> estimate_peer_rate([0, 0.25, 1, 0.5, 1], Tuning(peer_factor=1))
     0.25
--- a/hillfield/detection/latencies.py
+++ b/hillfield/detection/latencies.py
@@ -1,4 +1,4 @@
-"""What latency is usual among comparable targets."""
+"""Reference latencies of comparable targets, and limits from them."""
 
 from math import log2
 from typing import Final
@@ -30,7 +30,7 @@
 
 
 class LatencyReference:
-    """Estimate the median of recent latencies over targets alike."""
+    """Estimate the median of recent latencies of comparable targets."""
 
     def __init__(self) -> None:
         """Start without samples."""
@@ -45,7 +45,7 @@
         self._samples += 1
 
     def refresh(self, factor: float) -> None:
-        """Let the counts fade and set the limits anew."""
+        """Reduce the counts by the factor and recompute the limits."""
         self._buckets = {
             bucket: count * factor
             for bucket, count in self._buckets.items()
@@ -61,10 +61,10 @@
             )
 
     def _estimate_median(self) -> float:
-        rest = self._samples / 2
+        remaining = self._samples / 2
         for bucket in sorted(self._buckets):
-            rest -= self._buckets[bucket]
-            if rest <= 0:
+            remaining -= self._buckets[bucket]
+            if remaining <= 0:
                 return float(2 ** ((bucket + 0.5) / BUCKETS_PER_DOUBLING))
         return MIN_LATENCY
 
--- a/hillfield/detection/lateness.py
+++ b/hillfield/detection/lateness.py
@@ -1,20 +1,20 @@
-"""Count late answers, and missing ones before they time out."""
+"""Count late answers, and overdue ones before they time out."""
 
 from typing import Final
 
 from hillfield.detection.attempts import Attempt
 from hillfield.detection.decay import count_failure
+from hillfield.detection.evaluation import evaluate_target
 from hillfield.detection.health import OUT_OF_ROTATION, Health
 from hillfield.detection.indicators import Indicator
 from hillfield.detection.records import TargetRecord
 from hillfield.detection.service import (
     DISTANCES,
     ServiceState,
+    can_compare_latency,
     record_latency,
     select_limits,
-    can_compare_latency,
 )
-from hillfield.detection.evaluation import evaluate_target
 from hillfield.model import TargetId
 
 INDICATORS_BY_LIMIT: Final = (
@@ -22,7 +22,7 @@
     Indicator.VERY_SLOW,
     Indicator.HUNG,
 )
-# Limits passed by an attempt whose time-out says nothing new.
+# Limits passed by an attempt whose time-out is no new evidence.
 MIN_LIMITS_PASSED: Final = 2
 
 
@@ -32,7 +32,7 @@
     attempt: Attempt,
     now: float,
 ) -> None:
-    """Count how long an answer's head took."""
+    """Count how long the head of an answer took."""
     if is_lateness_ignored(record, attempt):
         return
     seconds = now - attempt.aged_from
@@ -47,7 +47,7 @@
     for indicator, is_late in zip(INDICATORS_BY_LIMIT, passed, strict=True):
         tally = record.tallies[indicator]
         if attempt.limits_passed > indicator - Indicator.SLOW:
-            # Counted when it became late; now it has been answered.
+            # Counted when it became overdue; now it has been answered.
             tally.unanswered = max(0, tally.unanswered - 1)
         elif is_late:
             count_failure(service, record, indicator, now)
@@ -58,7 +58,7 @@
 
 
 def count_overdue(service: ServiceState, now: float) -> None:
-    """Count attempts that have just become late, unanswered as they are."""
+    """Count the unanswered attempts that have just passed a limit."""
     limits = service.latency_references[DISTANCES].limits
     for attempt in service.attempts.collect_overdue(now, limits):
         record = service.records.get(attempt.target)
@@ -78,7 +78,7 @@
 ) -> None:
     """Count an attempt that ended without an answer as hung.
 
-    Where peers are slow the limit of that may lie beyond the deadline.
+    Where peers are slow, the limit for that may lie beyond the deadline.
     """
     if attempt.limits_passed >= len(INDICATORS_BY_LIMIT) or is_lateness_ignored(
         record, attempt
@@ -90,30 +90,30 @@
 
 
 def is_counted_as_late(service: ServiceState, attempt: Attempt) -> bool:
-    """Return whether a time-out is counted by the attempt's lateness."""
+    """Return whether a time-out counts as lateness, not as an error."""
     return attempt.limits_passed >= MIN_LIMITS_PASSED and can_compare_latency(
         service
     )
 
 
 def is_lateness_ignored(record: TargetRecord, attempt: Attempt) -> bool:
-    """Return whether the attempt's lateness says nothing of the target."""
+    """Return whether the attempt's lateness is no evidence."""
     if record.health is Health.TRIAL:
-        # What was sent before the trial says nothing of it.
+        # Attempts sent before the trial are not part of it.
         return attempt.started < record.since
-    # Cold targets are slow, which is no fault.
+    # Cold targets are expected to be slow.
     return record.health is Health.WARMING
 
 
 class AttemptTracker:
-    """Follow the attempts of one service; times are seconds."""
+    """Track the attempts of one service; times are in seconds."""
 
     def __init__(self, service: ServiceState) -> None:
-        """Take notes for this service."""
+        """Track attempts for this service."""
         self._service = service
 
     def note_started(self, now: float, target: TargetId, attempt: int) -> None:
-        """Note that an attempt is about to be written."""
+        """Record that an attempt is about to be written."""
         self._service.attempts.start(now, target, attempt)
         self._service.demand.count_request()
         record = self._service.records.get(target)
@@ -124,12 +124,12 @@
             record.trial_attempts.add(attempt)
 
     def note_head(self, now: float, target: TargetId, attempt: int) -> None:
-        """Note that the head of the attempt's answer has come."""
+        """Record that the head of the attempt's answer was received."""
         started = self._service.attempts.remove(attempt)
         record = self._service.records.get(target)
         if started is not None and record is not None:
             count_latency(self._service, record, started, now)
 
     def excuse(self, now: float, seconds: float) -> None:
-        """Hold no silence of the last seconds against targets."""
+        """Leave the last seconds out of the age of attempts in flight."""
         self._service.attempts.discount_pause(now, seconds)
--- a/hillfield/detection/measurement.py
+++ b/hillfield/detection/measurement.py
@@ -1,8 +1,8 @@
-"""Measure the decisions on modelled requests, with time as a value.
+"""Measure detection by simulation: modelled requests in modelled time.
 
-A service of some targets is called over a few nodes, each a plain board;
-the boards' evidence goes round five times a second. Nothing here opens a
-socket or reads a clock, and a seed gives the same figures every time.
+A few nodes, each only a detector, send requests to the targets of a service
+and exchange evidence five times per second. Nothing here opens a socket or
+reads a clock, and a seed gives the same figures every time.
 """
 
 from typing import Final
@@ -19,13 +19,14 @@
 
 
 class Measurement(Struct, frozen=True):
-    """Hold what a trial showed.
+    """Hold the results of one simulation.
 
-    `detected` is the seconds from the onset to the last request that the sick
-    target got before all nodes had it out of rotation (None: never out);
-    `late_share` is the work that it got after that, mostly trials, as a share
-    of a healthy target's; `false_ejections` how often a node took
-    a healthy target out, `avoided` how often one avoided a target.
+    `detected` is the seconds from the onset to the last request that the
+    faulty target got before all nodes had it out of rotation (None: never
+    out); `late_share` is the work that it got after that, mostly by trials, as
+    a share of a healthy target's; `false_ejections` is how often a node took
+    a healthy target out of rotation, `avoided` how often one avoided the
+    faulty target.
     """
 
     trial: Trial
@@ -37,10 +38,10 @@
     least_kept: float
 
 
-def measure(trial: Trial) -> Measurement:
-    """Run one trial."""
-    fleet = build_fleet(trial)
-    ticks = round(trial.seconds / TICK)
+def measure(simulation: Trial) -> Measurement:
+    """Run one simulation and measure it."""
+    fleet = build_fleet(simulation)
+    ticks = round(simulation.seconds / TICK)
     for number in range(1, ticks + 1):
         run_until(fleet, number * TICK)
         tick_detectors(fleet, number)
@@ -48,18 +49,18 @@
 
 
 def _sum_up(fleet: ModelFleet) -> Measurement:
-    trial = fleet.simulation
+    simulation = fleet.simulation
     share: float = 0
     if fleet.detected is not None:
-        fair = (fleet.sent - fleet.sent_at_detection) / trial.size.targets
+        fair = (fleet.sent - fleet.sent_at_detection) / simulation.size.targets
         share = fleet.sent_after_detection / max(1, fair)
-    innocent = trial.size.targets - (trial.trouble not in INNOCENT)
+    healthy = simulation.size.targets - (simulation.trouble not in INNOCENT)
     return Measurement(
-        trial,
+        simulation,
         None if fleet.detected is None else fleet.detected - ONSET,
         share,
         fleet.false_ejections,
         fleet.avoided,
-        innocent * trial.seconds / HOUR,
+        healthy * simulation.seconds / HOUR,
         fleet.least_kept,
     )
--- a/hillfield/detection/modelfleet.py
+++ b/hillfield/detection/modelfleet.py
@@ -1,4 +1,4 @@
-"""The boards, targets and counts of one trial."""
+"""The nodes, targets and counts of one simulation."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -26,7 +26,7 @@
 
 
 class PendingCall(Struct, frozen=True, order=True):
-    """Hold a call that ends at a time."""
+    """Hold a call and the time at which its answer or its end is due."""
 
     at: float
     attempt: int
@@ -37,7 +37,7 @@
 
 @dataclass(slots=True)
 class ModelNode:
-    """Hold a board and what it has in flight."""
+    """Hold a node's detector and its requests in flight."""
 
     number: int
     locality: Locality
@@ -49,7 +49,12 @@
 
 @dataclass(slots=True)
 class ModelFleet:
-    """Hold the state of one trial."""
+    """Hold the state of one simulation; times are in seconds.
+
+    `faulty` is the target that the disturbance affects, `cut_nodes` are the
+    nodes that cannot connect to it; `detected` is the time from which no
+    affected node sent it work (None: not yet).
+    """
 
     simulation: Trial
     random: Random
@@ -69,70 +74,77 @@
     least_kept: float = 1
 
 
-def build_fleet(trial: Trial) -> ModelFleet:
-    """Return the fleet of a trial at time 0."""
-    random = Random(trial.seed)
+def build_fleet(simulation: Trial) -> ModelFleet:
+    """Return the fleet of a simulation at time 0."""
+    random = Random(simulation.seed)
     models = tuple(
-        _build_model(trial, position, random)
-        for position in range(trial.size.targets)
+        _build_model(simulation, position, random)
+        for position in range(simulation.size.targets)
     )
-    cut = frozenset[int]()
-    if trial.trouble is Trouble.ONE_WAY:
-        cut = frozenset(range(1, trial.size.nodes, trial.size.domains))
+    cut_nodes = frozenset[int]()
+    if simulation.trouble is Trouble.ONE_WAY:
+        cut_nodes = frozenset(
+            range(1, simulation.size.nodes, simulation.size.domains)
+        )
     fleet = ModelFleet(
-        trial,
+        simulation,
         random,
-        tuple(_build_node(trial, host) for host in range(trial.size.nodes)),
+        tuple(
+            _build_node(simulation, host)
+            for host in range(simulation.size.nodes)
+        ),
         {model.target.id: model for model in models},
         models[0].target.id,
-        cut,
+        cut_nodes,
     )
     announce(fleet, 0)
     return fleet
 
 
-def _build_model(trial: Trial, position: int, random: Random) -> ModelTarget:
-    troubled = position == 0 or trial.trouble in SHARED_DISTURBANCES
+def _build_model(
+    simulation: Trial, position: int, random: Random
+) -> ModelTarget:
+    is_affected = position == 0 or simulation.trouble in SHARED_DISTURBANCES
     return ModelTarget(
-        build_target(trial, position, 1),
-        trial.size.median,
-        trial.trouble if troubled else Trouble.CALM,
+        build_target(simulation, position, 1),
+        simulation.size.median,
+        simulation.trouble if is_affected else Trouble.CALM,
         random,
     )
 
 
-def _build_locality(trial: Trial, number: int, host: str) -> Locality:
-    domain = number % trial.size.domains
+def _build_locality(simulation: Trial, number: int, host: str) -> Locality:
+    domain = number % simulation.size.domains
     return Locality('region', f'domain-{domain}', host)
 
 
-def build_target(trial: Trial, number: int, incarnation: int) -> Target:
-    """Return a target; numbers go round the failure domains."""
+def build_target(simulation: Trial, number: int, incarnation: int) -> Target:
+    """Return a target; failure domains are assigned in turn by number."""
     return Target(
         TargetId(
-            trial.policy.service,
+            simulation.policy.service,
             Address(str(FIRST_ADDRESS + number), PORT),
             incarnation,
         ),
-        _build_locality(trial, number, f'host-{number}'),
-        trial.size.slots,
+        _build_locality(simulation, number, f'host-{number}'),
+        simulation.size.slots,
         CONNECTION_LIMIT,
     )
 
 
-def _build_node(trial: Trial, number: int) -> ModelNode:
-    locality = _build_locality(trial, number, f'node-{number}')
-    if trial.board is BoardKind.BASELINE:
+def _build_node(simulation: Trial, number: int) -> ModelNode:
+    locality = _build_locality(simulation, number, f'node-{number}')
+    if simulation.board is BoardKind.BASELINE:
         return ModelNode(
             number,
             locality,
-            BaselineBoard(trial.policy, locality),
+            BaselineBoard(simulation.policy, locality),
         )
-    return ModelNode(number, locality, HealthBoard(trial.policy, locality))
+    return ModelNode(number, locality, HealthBoard(simulation.policy, locality))
 
 
 def announce(fleet: ModelFleet, now: float) -> None:
-    """Tell all nodes of the targets."""
+    """Announce the present targets to all nodes."""
     targets = tuple(model.target for model in fleet.targets.values())
     for node in fleet.nodes:
         node.detector.adopt_targets(now, targets)
--- a/hillfield/detection/observations.py
+++ b/hillfield/detection/observations.py
@@ -1,16 +1,16 @@
-"""Count what became of requests."""
+"""Count how attempts ended."""
 
 from functools import singledispatch
 from typing import Final
 
-from hillfield.detection.evidence import Symptom
 from hillfield.detection.decay import count_failure
+from hillfield.detection.evaluation import evaluate_target
+from hillfield.detection.evidence import Symptom
 from hillfield.detection.health import OUT_OF_ROTATION, Health
 from hillfield.detection.indicators import Indicator
 from hillfield.detection.records import TRIAL_STAGES, TargetRecord
 from hillfield.detection.service import ServiceState
 from hillfield.detection.transitions import restore_target
-from hillfield.detection.evaluation import evaluate_target
 from hillfield.routing.declining import Declined
 from hillfield.routing.requests import (
     Answered,
@@ -34,7 +34,7 @@
     now: float,
 ) -> None:
     """Count how an attempt at the target ended."""
-    raise TypeError(f'no observation: {observation!r}')
+    raise TypeError(f'not an observation: {observation!r}')
 
 
 @count_observation.register
@@ -44,7 +44,7 @@
     record: TargetRecord,
     now: float,
 ) -> None:
-    """Learn nothing: the target had no chance to end it."""
+    """Count nothing: the caller left before the target could answer."""
 
 
 @count_observation.register
@@ -54,7 +54,7 @@
     record: TargetRecord,
     now: float,
 ) -> None:
-    """Learn that the way is good: the target itself was not asked."""
+    """Count that the path works: the target itself got no request."""
     _count_reached(service, record, now)
 
 
@@ -79,7 +79,7 @@
     now: float,
 ) -> None:
     _count_reached(service, record, now)
-    # The target defends itself: less work for a moment, no fault.
+    # The target limits its own load: less work for a moment, no failure.
     record.shed_until = now + SHED_SECONDS
     service.unsettled_targets.add(record.target.id)
     service.rotation_outdated = True
@@ -164,7 +164,7 @@
 
 
 def _count_floor_held_success(record: TargetRecord, now: float) -> None:
-    # Only the floor sends a target work in this state.
+    # Only the floor sends work to a target in this state.
     record.consecutive_successes += 1
     if record.consecutive_successes >= FLOOR_HELD_SUCCESSES:
         record.out_until = min(record.out_until, now)
--- a/hillfield/detection/paths.py
+++ b/hillfield/detection/paths.py
@@ -1,4 +1,4 @@
-"""Judge only the way to each target, where the gates judge the targets."""
+"""Detect failed paths to targets; their gates test the targets."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -28,14 +28,14 @@
     TimedOut,
 )
 
-# Seconds that a way is left alone after its first failure; twice as long
+# Seconds for which a path is avoided after its first failure; twice as long
 # after each further one.
 MIN_AVOIDANCE_SECONDS: Final = 0.25
 MAX_AVOIDANCE_SECONDS: Final = 4.0
 MAX_DOUBLINGS: Final = 6
-# What a cold target gets of a warm one's work.
+# Work of a cold target as a share of a warm one's.
 COLD_SHARE: Final = 0.4
-# Ends that speak of the way: a node that got the request would have said so.
+# Failures of the path: a node that got the request would have answered.
 PATH_FAILURES: Final = (ConnectFailed, NothingWritten, TimedOut)
 
 
@@ -48,30 +48,30 @@
 
 
 class PathBoard(ResultDetector):
-    """Leave ways alone that failed; the last one is never given up."""
+    """Avoid paths that failed, except for the last one."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
         """Start without targets."""
         super().__init__()
         self._policy = policy
         self._locality = locality
-        self._ways: dict[TargetId, _Path] = {}
+        self._paths: dict[TargetId, _Path] = {}
         self._rotation: Rotation | None = None
         self._now: float = 0
 
     def adopt_policy(self, now: float, policy: ServicePolicy) -> None:
-        """Take a new policy into force."""
+        """Apply a new policy."""
         self._policy = policy
         self._rotation = None
 
     def adopt_targets(self, now: float, targets: tuple[Target, ...]) -> None:
         """Replace the announced targets."""
-        known = self._ways
-        self._ways = {}
+        known = self._paths
+        self._paths = {}
         for target in targets:
-            way = known.get(target.id) or _Path(target, now)
-            way.target = target
-            self._ways[target.id] = way
+            path = known.get(target.id) or _Path(target, now)
+            path.target = target
+            self._paths[target.id] = path
         self._rotation = None
 
     def observe(
@@ -81,15 +81,15 @@
         attempt: int,
         observation: Observation,
     ) -> None:
-        """Note whether an attempt got through to the node there."""
-        way = self._ways.get(target)
+        """Record whether an attempt reached the node of the target."""
+        path = self._paths.get(target)
         self._now = now
-        if way is None or isinstance(observation, CallerGone):
+        if path is None or isinstance(observation, CallerGone):
             return
         if not isinstance(observation, PATH_FAILURES):
-            way.failures = 0
+            path.failures = 0
             return
-        seconds = _avoid_path(way, now)
+        seconds = _avoid_path(path, now)
         self._rotation = None
         if seconds is not None:
             self.pending_occurrences.append(
@@ -108,63 +108,63 @@
         healthy: bool,
         seconds: float,
     ) -> None:
-        """Ignore probes: they lie."""
+        """Ignore probes: they may fail or pass regardless of requests."""
 
     def rotation(self) -> Rotation:
-        """Return the targets whose way is not left alone."""
+        """Return the targets whose path is not avoided."""
         if self._rotation is None:
-            standings = tuple(
-                _build_status(way, self._now) for way in self._ways.values()
+            statuses = tuple(
+                _build_status(path, self._now) for path in self._paths.values()
             )
-            self._rotation = build_rotation(standings, 0)
+            self._rotation = build_rotation(statuses, 0)
         return self._rotation
 
     def tick(self, now: float) -> tuple[Occurrence, ...]:
-        """Return what has changed since the last tick; call each 0.1 s."""
-        ends = (way.until for way in self._ways.values())
+        """Return the changes since the last tick; call it every 0.1 s."""
+        ends = (path.until for path in self._paths.values())
         if any(self._now < end <= now for end in ends):
             self._rotation = None
         self._now = now
         return self.take_occurrences()
 
     def explain(self, now: float) -> tuple[TargetExplanation, ...]:
-        """Explain the treatment of each target."""
-        return tuple(_explain(way, now) for way in self._ways.values())
+        """Explain why each target does or does not receive work."""
+        return tuple(_explain(path, now) for path in self._paths.values())
 
 
-def _avoid_path(way: _Path, now: float) -> float | None:
-    """Leave a way alone; return for how long, None if it already is."""
-    doublings = min(way.failures, MAX_DOUBLINGS)
-    wanted = MIN_AVOIDANCE_SECONDS * 2**doublings
-    seconds = min(MAX_AVOIDANCE_SECONDS, wanted)
-    is_new = now >= way.until
+def _avoid_path(path: _Path, now: float) -> float | None:
+    """Avoid a path; return for how many seconds, None if it already was."""
+    doublings = min(path.failures, MAX_DOUBLINGS)
+    doubled = MIN_AVOIDANCE_SECONDS * 2**doublings
+    seconds = min(MAX_AVOIDANCE_SECONDS, doubled)
+    is_new = now >= path.until
     if is_new:
-        way.failures += 1
-        way.since = now
-    way.until = max(way.until, now + seconds)
+        path.failures += 1
+        path.since = now
+    path.until = max(path.until, now + seconds)
     return seconds if is_new else None
 
 
-def _build_status(way: _Path, now: float) -> TargetStatus:
-    target = way.target
-    serves = way.until <= now
+def _build_status(path: _Path, now: float) -> TargetStatus:
+    target = path.target
+    is_usable = path.until <= now
     share = COLD_SHARE if target.state is TargetState.COLD else FULL_SHARE
     return TargetStatus(
         target,
-        share if serves else 0,
-        counts_as_kept=serves,
-        severity=way.failures,
+        share if is_usable else 0,
+        counts_as_kept=is_usable,
+        severity=path.failures,
     )
 
 
-def _explain(way: _Path, now: float) -> TargetExplanation:
-    serves = way.until <= now
+def _explain(path: _Path, now: float) -> TargetExplanation:
+    is_usable = path.until <= now
     return TargetExplanation(
-        way.target.id,
-        'healthy' if serves else 'avoided',
-        way.since,
-        f'{way.failures} failures in a row to get through',
-        Symptom.UNREACHABLE if way.failures else Symptom.NONE,
-        float(serves),
+        path.target.id,
+        'healthy' if is_usable else 'avoided',
+        path.since,
+        f'{path.failures} consecutive failures to reach its node',
+        Symptom.UNREACHABLE if path.failures else Symptom.NONE,
+        float(is_usable),
         floor_held=False,
     )
--- a/hillfield/detection/pools.py
+++ b/hillfield/detection/pools.py
@@ -1,4 +1,4 @@
-"""Sum up what this node and others count of one indicator."""
+"""Pool the counts of one indicator of this node and others."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -11,10 +11,13 @@
 from hillfield.detection.service import ServiceState
 from hillfield.detection.tallies import Tally
 
+# Failures from which this node is one of those that confirm a fault.
 MIN_OWN_FAILURES: Final = 0.5
+# Successes of this node that are weighed against others' failures at most.
 MAX_OWN_SUCCESSES: Final = 5.0
+# Seconds since the last success.
 MAX_SUCCESS_AGE: Final = 1.0
-# A path can cause these; only a target itself answers wrongly or late.
+# A failed path can cause these; wrong and late answers are the target's own.
 PATH_SYMPTOMS: Final = frozenset(
     (Symptom.UNREACHABLE, Symptom.STALLED, Symptom.BROKEN),
 )
@@ -22,10 +25,10 @@
 
 @dataclass(slots=True)
 class PooledCounts:
-    """Sum up what this node and others count of one indicator.
+    """Hold the counts of one indicator at this node, or pooled with others.
 
-    `margin` is by how much the score passes the threshold (below 0: not);
-    `confirmed` says that enough points of view agree.
+    `margin` is by how much the score exceeds the threshold (below 0: not);
+    `confirmed` says that enough nodes, in enough failure domains, agree.
     """
 
     indicator: Indicator
@@ -40,7 +43,7 @@
 
 
 def infer_symptom(record: TargetRecord, indicator: Indicator) -> Symptom:
-    """Return what the indicator's failures at this node mean."""
+    """Return the symptom that the indicator's failures at this node show."""
     match indicator:
         case Indicator.UNREACHABLE:
             return Symptom.UNREACHABLE
@@ -57,9 +60,9 @@
     record: TargetRecord,
     indicator: Indicator,
 ) -> PooledCounts:
-    """Sum up what this node counts."""
+    """Return the counts of this node."""
     tally = record.tallies[indicator]
-    pool = PooledCounts(
+    counts = PooledCounts(
         indicator,
         infer_symptom(record, indicator),
         tally.requests,
@@ -67,74 +70,71 @@
         set(),
         set(),
     )
-    if pool.symptom in PATH_SYMPTOMS:
-        pool.path_failures = tally.failures
+    if counts.symptom in PATH_SYMPTOMS:
+        counts.path_failures = tally.failures
     if tally.failures >= MIN_OWN_FAILURES:
-        pool.nodes.add('')
-        pool.domains.add(service.locality.failure_domain)
-    return pool
+        counts.nodes.add('')
+        counts.domains.add(service.locality.failure_domain)
+    return counts
 
 
 def pool_all_counts(
     service: ServiceState,
     record: TargetRecord,
     indicator: Indicator,
-    statements: tuple[ReceivedEvidence, ...],
+    received: tuple[ReceivedEvidence, ...],
     now: float,
 ) -> PooledCounts:
-    """Sum up what this node and others count."""
-    pool = pool_own_counts(service, record, indicator)
-    clean: float = 0
-    if not pool.nodes:
-        clean = _count_own_successes(record.tallies[indicator], now)
-    pool.requests += clean
-    for statement in statements:
-        if _applies_to(statement, record, indicator):
-            _add_received(pool, statement)
-    pool.confirmed = _is_confirmed(service, pool, clean)
-    return pool
+    """Return the counts of this node pooled with those of others."""
+    counts = pool_own_counts(service, record, indicator)
+    successes: float = 0
+    if not counts.nodes:
+        successes = _count_own_successes(record.tallies[indicator], now)
+    counts.requests += successes
+    for piece in received:
+        if _applies_to(piece, record, indicator):
+            _add_received(counts, piece)
+    counts.confirmed = _is_confirmed(service, counts, successes)
+    return counts
 
 
 def _applies_to(
-    statement: ReceivedEvidence,
+    piece: ReceivedEvidence,
     record: TargetRecord,
     indicator: Indicator,
 ) -> bool:
-    if statement.indicator is not indicator:
+    if piece.indicator is not indicator:
         return False
-    return (
-        record.health is not Health.TRIAL
-        or statement.received_at > record.since
-    )
+    return record.health is not Health.TRIAL or piece.received_at > record.since
 
 
-def _add_received(pool: PooledCounts, statement: ReceivedEvidence) -> None:
-    evidence = statement.evidence
+def _add_received(counts: PooledCounts, piece: ReceivedEvidence) -> None:
+    evidence = piece.evidence
     if evidence.symptom in PATH_SYMPTOMS:
-        pool.path_failures += evidence.failures
-    if not pool.nodes:
-        pool.symptom = evidence.symptom
-    pool.requests += evidence.requests
-    pool.failures += evidence.failures
-    pool.nodes.add(statement.node)
-    pool.domains.add(statement.domain)
+        counts.path_failures += evidence.failures
+    if not counts.nodes:
+        counts.symptom = evidence.symptom
+    counts.requests += evidence.requests
+    counts.failures += evidence.failures
+    counts.nodes.add(piece.node)
+    counts.domains.add(piece.domain)
 
 
 def _count_own_successes(tally: Tally, now: float) -> float:
     if now - tally.succeeded_at > MAX_SUCCESS_AGE:
         return 0
-    clean = tally.recent_requests - tally.recent_failures
-    return min(MAX_OWN_SUCCESSES, clean)
+    successes = tally.recent_requests - tally.recent_failures
+    return min(MAX_OWN_SUCCESSES, successes)
 
 
 def _is_confirmed(
-    service: ServiceState, pool: PooledCounts, clean: float
+    service: ServiceState, counts: PooledCounts, successes: float
 ) -> bool:
-    if len(pool.nodes) < 2:
+    if len(counts.nodes) < 2:
         return False
-    if pool.path_failures < pool.failures / 2:
+    if counts.path_failures < counts.failures / 2:
         return True
-    if clean >= 1:
-        # This node gets through: the others' paths are at fault.
+    if successes >= 1:
+        # This node reaches it: the others' paths are at fault.
         return False
-    return len(pool.domains) >= min(2, service.domain_count)
+    return len(counts.domains) >= min(2, service.domain_count)
--- a/hillfield/detection/records.py
+++ b/hillfield/detection/records.py
@@ -1,4 +1,4 @@
-"""What one node keeps of one target."""
+"""The counts and the state that one node keeps for one target."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -21,7 +21,7 @@
 
 
 class TrialStage(Struct, frozen=True):
-    """Say what share a target on trial gets, and for how many successes."""
+    """Set the share of a target on trial, and the successes required."""
 
     share: float
     successes: int
@@ -43,11 +43,13 @@
 
 @dataclass(slots=True)
 class TargetRecord:
-    """Hold a target's counts and its state; times are seconds.
+    """Hold a target's counts and its state; times are in seconds.
 
-    `out_until` is when an ejection ends, `recent_ejections` how often it was ejected of
-    late, `consecutive_successes` the successes of this stage of its trial, `trial_attempts` the
-    attempts that belong to the trial.
+    `out_until` is when an ejection or avoidance ends, `recent_ejections` how
+    often the target was taken out of rotation recently,
+    `consecutive_successes` how many of its answers were right since the last
+    failure (in this stage of its trial, or while only the floor uses it),
+    `trial_attempts` the attempts that belong to the trial.
     """
 
     target: Target
@@ -71,7 +73,7 @@
     warmup_share: float = MIN_WARMUP_SHARE
 
     def reset_counts(self) -> None:
-        """Forget the counts of the present run."""
+        """Reset the counts and the successes of a trial."""
         self.consecutive_successes = 0
         self.trial_attempts.clear()
         for tally in self.tallies:
@@ -79,7 +81,7 @@
 
 
 def compute_share(record: TargetRecord, now: float) -> float:
-    """Return the share of work that the record's state gives."""
+    """Return the share of a full target's work that this one gets."""
     match record.health:
         case Health.EJECTED | Health.AVOIDED | Health.DRAINING:
             return 0
@@ -96,7 +98,7 @@
 
 
 def build_status(record: TargetRecord, now: float) -> TargetStatus:
-    """Return how the target stands for the rotation."""
+    """Return the target's status for building the rotation."""
     share = compute_share(record, now)
     return TargetStatus(
         record.target,
@@ -108,10 +110,11 @@
 
 
 def must_keep_share(record: TargetRecord) -> bool:
-    """Tell whether a target must get its share to be judged.
+    """Return whether a target must get its share to be evaluated.
 
-    Those that are late are left alone by choice, so that nothing would
-    convict them; the few requests that fail elsewhere convict by themselves.
+    Load balancing sends little work to a target that answers late, too
+    little to eject or clear it. A target with another symptom needs no such
+    rule: the few requests that it fails are enough evidence.
     """
     late = record.symptom in LATE_SYMPTOMS
     return late and record.health is Health.SUSPECTED
@@ -119,15 +122,15 @@
 
 def _select_severity(record: TargetRecord) -> float:
     if record.health is Health.TRIAL:
-        # It may be well again: used before those known to be sick.
+        # It may have recovered: used before those known to be unhealthy.
         return 0
     return record.severity
 
 
 def compute_severity(symptom: Symptom, rate: float) -> float:
-    """Return how much harm a target's symptom does; the least is used first.
+    """Return how severe a symptom is; the floor uses the least severe first.
 
-    Slow answers are answers; an unreachable target gives none.
+    A slow answer is still an answer; an unreachable target gives none.
     """
     match symptom:
         case Symptom.SLOW:
--- a/hillfield/detection/reports.py
+++ b/hillfield/detection/reports.py
@@ -1,4 +1,4 @@
-"""What other nodes tell, for a few seconds."""
+"""Evidence received from other nodes, kept for a few seconds."""
 
 from itertools import chain
 from typing import Final
@@ -15,9 +15,9 @@
 
 
 def find_indicator(evidence: Evidence) -> Indicator:
-    """Return the indicator that a piece of evidence counts.
+    """Return the indicator whose counts a piece of evidence reports.
 
-    One target may be told of by several pieces with the same symptom.
+    Several pieces on one target may have the same symptom.
     """
     match evidence.symptom:
         case Symptom.UNREACHABLE:
@@ -32,7 +32,7 @@
 
 
 class ReceivedEvidence(Struct, frozen=True):
-    """Hold one piece of evidence, where it comes from and when it came."""
+    """Hold another node's piece of evidence and when it was received."""
 
     node: str
     domain: str
@@ -41,16 +41,16 @@
 
     @property
     def indicator(self) -> Indicator:
-        """Return the indicator that the evidence counts."""
+        """Return the indicator whose counts the evidence reports."""
         return find_indicator(self.evidence)
 
 
-Statements = tuple[ReceivedEvidence, ...]
+ReceivedPieces = tuple[ReceivedEvidence, ...]
 EvidenceByNode = dict[str, list[ReceivedEvidence]]
 
 
 class EvidenceReports:
-    """Keep the newest report of each node, a bounded number of them."""
+    """Keep the newest report of each node, for a bounded number of nodes."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -60,58 +60,58 @@
     def replace_report(
         self,
         node: str,
-        statements: tuple[ReceivedEvidence, ...],
+        pieces: tuple[ReceivedEvidence, ...],
     ) -> frozenset[TargetId]:
-        """Replace that node's report; return the targets it newly accuses."""
+        """Replace that node's report; return targets with new failures."""
         earlier = self._remove(node)
-        kept = statements[:MAX_PIECES_PER_NODE]
+        kept = pieces[:MAX_PIECES_PER_NODE]
         if kept:
             self._reports[node] = kept
-        for statement in kept:
-            self._index(statement)
+        for piece in kept:
+            self._index(piece)
         while len(self._reports) > MAX_NODES:
             self._remove(next(iter(self._reports)))
         return frozenset(
-            accused.evidence.target
-            for accused in kept
-            if _has_grown(accused, earlier)
+            newer.evidence.target
+            for newer in kept
+            if _has_grown(newer, earlier)
         )
 
     def expire(self, before: float) -> None:
-        """Forget reports taken before that time."""
-        stale = [
+        """Remove reports received before that time."""
+        expired = [
             node
-            for node, statements in self._reports.items()
-            if statements[0].received_at < before
+            for node, pieces in self._reports.items()
+            if pieces[0].received_at < before
         ]
-        for node in stale:
+        for node in expired:
             self._remove(node)
 
     @property
     def has_any(self) -> bool:
-        """Return whether any node tells anything."""
+        """Return whether any node has reported evidence."""
         return bool(self._reports)
 
     def has_target(self, target: TargetId) -> bool:
-        """Return whether anything is told of this life of the target."""
+        """Return whether there is evidence on this incarnation."""
         return target in self._by_target
 
     def for_target(self, target: TargetId) -> tuple[ReceivedEvidence, ...]:
-        """Return what is told of exactly this life of the target."""
+        """Return the evidence on exactly this incarnation of the target."""
         by_node = self._by_target.get(target)
         if not by_node:
             return ()
         return tuple(chain.from_iterable(by_node.values()))
 
-    def _index(self, statement: ReceivedEvidence) -> None:
-        target = statement.evidence.target
+    def _index(self, piece: ReceivedEvidence) -> None:
+        target = piece.evidence.target
         by_node = self._by_target.setdefault(target, {})
-        by_node.setdefault(statement.node, []).append(statement)
+        by_node.setdefault(piece.node, []).append(piece)
 
     def _remove(self, node: str) -> tuple[ReceivedEvidence, ...]:
         earlier = self._reports.pop(node, ())
-        for statement in earlier:
-            target = statement.evidence.target
+        for piece in earlier:
+            target = piece.evidence.target
             by_node = self._by_target.get(target, {})
             by_node.pop(node, None)
             if not by_node:
@@ -120,13 +120,13 @@
 
 
 def _has_grown(
-    statement: ReceivedEvidence,
+    piece: ReceivedEvidence,
     earlier: tuple[ReceivedEvidence, ...],
 ) -> bool:
-    evidence = statement.evidence
+    evidence = piece.evidence
     return not any(
         known.evidence.target == evidence.target
-        and known.indicator is statement.indicator
+        and known.indicator is piece.indicator
         and known.evidence.failures >= evidence.failures
         for known in earlier
     )
--- a/hillfield/detection/resultdetector.py
+++ b/hillfield/detection/resultdetector.py
@@ -1,4 +1,4 @@
-"""What a board does that tells nobody and looks at ends only."""
+"""Common part of detectors that use the results of attempts only."""
 
 from hillfield.detection.evidence import Evidence
 from hillfield.events import Occurrence
@@ -6,23 +6,23 @@
 
 
 class ResultDetector:
-    """Ignore starts, heads and other nodes; keep events until the tick."""
+    """Ignore starts, heads and other nodes; keep events until a tick."""
 
     def __init__(self) -> None:
         """Start without events."""
         self.pending_occurrences: list[Occurrence] = []
 
     def note_started(self, now: float, target: TargetId, attempt: int) -> None:
-        """Ignore the start."""
+        """Ignore the start of an attempt."""
 
     def note_head(self, now: float, target: TargetId, attempt: int) -> None:
-        """Ignore the head: `observe` follows."""
+        """Ignore the head of an answer: `observe` follows."""
 
     def excuse(self, now: float, seconds: float) -> None:
-        """Excuse nobody: ends alone are judged here."""
+        """Ignore a pause: the age of attempts is not used."""
 
     def evidence(self, now: float) -> tuple[Evidence, ...]:
-        """Return nothing: such a board tells nobody."""
+        """Return nothing: such a detector sends no evidence."""
         return ()
 
     def adopt_evidence(
@@ -32,7 +32,7 @@
         domain: str,
         evidence: tuple[Evidence, ...],
     ) -> None:
-        """Ignore what others tell."""
+        """Ignore evidence of other nodes."""
 
     def take_occurrences(self) -> tuple[Occurrence, ...]:
         """Return the events since the last call."""
--- a/hillfield/detection/rotation.py
+++ b/hillfield/detection/rotation.py
@@ -10,10 +10,11 @@
 
 
 class Candidate(Struct, frozen=True):
-    """Offer a target; `share` (above 0, at most 1) weighs its new work.
+    """Offer a target for new work in proportion to its share.
 
-    `watched`: it is suspected, so it gets its share however late it answers,
-    until that convicts or clears it.
+    `share` is above 0 and at most 1; `keeps_share` says that the target is
+    suspected and gets its share however late it answers, so that there is
+    evidence to eject or clear it.
     """
 
     target: Target
@@ -24,8 +25,9 @@
 class Rotation(Struct, frozen=True):
     """Hold the targets of a service that may receive work now.
 
-    `floor_held` are the sick ones that only the floor keeps here. Both slot counts
-    leave draining targets out; targets on trial do not count as kept.
+    `floor_held` are the unhealthy ones that only the floor keeps here. Both
+    slot counts leave out draining targets; targets on trial do not count as
+    kept.
     """
 
     candidates: tuple[Candidate, ...]
@@ -35,10 +37,11 @@
 
 
 class TargetStatus(Struct, frozen=True):
-    """Judge one target for the rotation.
+    """Describe one target for building the rotation.
 
-    `share` is 0 for a target taken out; `counts_as_kept` says whether its slots
-    count as kept. Of the others the lowest `severity` is used first.
+    `share` is 0 for a target out of rotation; `counts_as_kept` says whether
+    its slots count towards the floor. Of the others, those with the lowest
+    `severity` are used first to reach it.
     """
 
     target: Target
@@ -49,57 +52,55 @@
 
 
 def build_rotation(
-    standings: tuple[TargetStatus, ...], floor: float
+    statuses: tuple[TargetStatus, ...], floor: float
 ) -> Rotation:
     """Return the rotation that keeps `floor` of the announced slots.
 
-    Equal standings give equal rotations, whatever their order.
+    Equal statuses give equal rotations, whatever their order.
     """
     announced = tuple(
-        standing
-        for standing in standings
-        if standing.target.state is not TargetState.DRAINING
+        status
+        for status in statuses
+        if status.target.state is not TargetState.DRAINING
     )
-    slots = sum(standing.target.slots for standing in announced)
+    slots = sum(status.target.slots for status in announced)
     kept = sum(
-        standing.target.slots
-        for standing in announced
-        if standing.counts_as_kept
+        status.target.slots for status in announced if status.counts_as_kept
     )
-    held: set[TargetId] = set()
-    for standing in sorted(announced, key=_order_by_severity):
+    floor_held: set[TargetId] = set()
+    for status in sorted(announced, key=_order_by_severity):
         if kept >= floor * slots and (kept or not slots):
             break
-        if not standing.counts_as_kept:
-            held.add(standing.target.id)
-            kept += standing.target.slots
+        if not status.counts_as_kept:
+            floor_held.add(status.target.id)
+            kept += status.target.slots
     return Rotation(
-        _offer(announced, held),
-        frozenset(held),
+        _list_candidates(announced, floor_held),
+        frozenset(floor_held),
         kept,
         slots,
     )
 
 
-def _order_by_severity(standing: TargetStatus) -> tuple[float, TargetId]:
-    return standing.severity, standing.target.id
+def _order_by_severity(status: TargetStatus) -> tuple[float, TargetId]:
+    return status.severity, status.target.id
 
 
-def _offer(
+def _list_candidates(
     announced: tuple[TargetStatus, ...],
-    held: set[TargetId],
+    floor_held: set[TargetId],
 ) -> tuple[Candidate, ...]:
-    offered = []
-    for standing in announced:
-        share = standing.share
-        if standing.target.id in held:
+    candidates = []
+    for status in announced:
+        share = status.share
+        if status.target.id in floor_held:
             share = FULL_SHARE
         if share > 0:
-            offered.append(
-                Candidate(standing.target, share, standing.keeps_share),
+            candidates.append(
+                Candidate(status.target, share, status.keeps_share),
             )
-    offered.sort(key=_order_by_id)
-    return tuple(offered)
+    candidates.sort(key=_order_by_id)
+    return tuple(candidates)
 
 
 def _order_by_id(candidate: Candidate) -> TargetId:
--- a/hillfield/detection/service.py
+++ b/hillfield/detection/service.py
@@ -1,4 +1,4 @@
-"""What one node keeps of one service's targets."""
+"""The state that one node keeps for one service's targets."""
 
 from collections import Counter
 from dataclasses import dataclass, field
@@ -11,8 +11,8 @@
     HYPOTHESES,
     Indicator,
     Weights,
-    estimate_peer_rate,
     compute_weights,
+    estimate_peer_rate,
 )
 from hillfield.detection.latencies import LatencyReference, Limits
 from hillfield.detection.records import TargetRecord
@@ -23,7 +23,7 @@
 from hillfield.model import Locality, ServicePolicy, TargetId
 
 MIN_PEERS: Final = 2
-# A rate that no peer can have: slowness weighs nothing by it.
+# A rate above 1, which no peer can have: with it latency weighs nothing.
 NO_COMPARABLE_RATES: Final = (2.0,)
 MIN_OBSERVED_REQUESTS: Final = 0.5
 MIN_TARGETS_AT_DISTANCE: Final = 4
@@ -46,11 +46,13 @@
 class ServiceState:
     """Hold all that is known of a service's targets.
 
-    `latency_references` are one per distance and a last one over all targets;
-    `excess_suspects` is how many more targets than usual look sick by an indicator;
-    `rotation_outdated` says that the rotation must be built anew. What does not follow
-    from `counted_targets` (targets with counts), `failing_targets` (with failures among
-    them) and `unsettled_targets` (not plainly healthy) costs nothing.
+    `latency_references` holds one per distance and a last one over all
+    targets; `excess_suspects` is by indicator how many more targets look
+    unhealthy than is tolerated; `rotation_outdated` says that the rotation
+    must be rebuilt. Work that recurs is limited to the targets in
+    `counted_targets` (with counts), `failing_targets` (with failures among
+    them) and `unsettled_targets` (not simply healthy), so that the others
+    cost nothing.
     """
 
     policy: ServicePolicy
@@ -78,19 +80,19 @@
 
     @property
     def threshold(self) -> float:
-        """Return the score from which on a target is sick."""
+        """Return the score from which on a target counts as unhealthy."""
         return compute_threshold(self.policy, self.tuning)
 
 
 def select_limits(service: ServiceState, record: TargetRecord) -> Limits:
-    """Return what is slow, among targets as far away if there are enough."""
+    """Return the limits of targets at the same distance, or of all."""
     if service.targets_by_distance[record.distance] >= MIN_TARGETS_AT_DISTANCE:
         return service.latency_references[record.distance].limits
     return service.latency_references[DISTANCES].limits
 
 
 def can_compare_latency(service: ServiceState) -> bool:
-    """Return whether there are enough targets in service to compare."""
+    """Return whether enough targets are in service to compare latencies."""
     peers = sum(
         record.health in IN_SERVICE for record in service.records.values()
     )
@@ -102,14 +104,14 @@
     record: TargetRecord,
     seconds: float,
 ) -> None:
-    """Count a latency as usual for the target's distance."""
+    """Add a latency to the references that include the target."""
     service.latency_references[record.distance].add(seconds)
     service.latency_references[DISTANCES].add(seconds)
 
 
 def update_weights(service: ServiceState, now: float) -> None:
-    """Weigh failures anew by how often the peers fail now."""
-    kept = 0.5 ** (
+    """Recompute the weights from how often the peers fail now."""
+    decay = 0.5 ** (
         (now - service.weights_updated_at) / service.tuning.peer_rate_half_life
     )
     service.weights_updated_at = now
@@ -126,22 +128,23 @@
         _count_excess_suspects(service, indicator, rates[indicator])
         for indicator in Indicator
     )
-    usual = [
+    peer_rates = [
         max(
             estimate_peer_rate(rates[indicator], service.tuning),
-            # What all have just suffered ends at each a little later.
-            _select_previous_rate(service, indicator) * kept,
+            # A fault that all targets share ends a little later at some
+            # of them, so the previous rates decay.
+            _select_previous_rate(service, indicator) * decay,
         )
         for indicator in Indicator
     ]
-    excuse = service.demand.estimate_late_share()
-    usual[Indicator.SLOW] = max(usual[Indicator.SLOW], excuse)
+    late_share = service.demand.estimate_late_share()
+    peer_rates[Indicator.SLOW] = max(peer_rates[Indicator.SLOW], late_share)
     # Where many answers are late, some are very late.
-    half = usual[Indicator.SLOW] / 2
-    usual[Indicator.VERY_SLOW] = max(usual[Indicator.VERY_SLOW], half)
-    quarter = usual[Indicator.VERY_SLOW] / 4
-    usual[Indicator.HUNG] = max(usual[Indicator.HUNG], quarter)
-    service.peer_rates = tuple(usual)
+    half = peer_rates[Indicator.SLOW] / 2
+    peer_rates[Indicator.VERY_SLOW] = max(peer_rates[Indicator.VERY_SLOW], half)
+    quarter = peer_rates[Indicator.VERY_SLOW] / 4
+    peer_rates[Indicator.HUNG] = max(peer_rates[Indicator.HUNG], quarter)
+    service.peer_rates = tuple(peer_rates)
     service.weights = tuple(
         compute_weights(HYPOTHESES[indicator], service.peer_rates[indicator])
         for indicator in Indicator
@@ -149,9 +152,9 @@
 
 
 def _select_previous_rate(service: ServiceState, indicator: Indicator) -> float:
-    usual = service.peer_rates[indicator]
-    # That there were too few peers says nothing once there are enough.
-    return usual if usual <= service.tuning.peer_factor else 0
+    rate = service.peer_rates[indicator]
+    # The rate for too few peers says nothing once there are enough.
+    return rate if rate <= service.tuning.peer_factor else 0
 
 
 def _compute_peer_rates(
@@ -159,17 +162,21 @@
     indicator: Indicator,
     peers: list[TargetRecord],
 ) -> tuple[float, ...]:
-    # Nodes send most work to their own failure domain; what has no requests
-    # says nothing of what is usual.
-    seen = [peer for peer in peers if _is_observed(service, peer)]
+    # Nodes send most work to their own failure domain; a target without
+    # requests has no rate to compare with.
+    observed = [peer for peer in peers if _is_observed(service, peer)]
     if indicator in LATENCY_INDICATORS:
-        seen = [peer for peer in seen if peer.health is not Health.WARMING]
-        if len(seen) <= MIN_PEERS:
-            # Too few to say what is usual: slowness then accuses nobody.
+        observed = [
+            peer for peer in observed if peer.health is not Health.WARMING
+        ]
+        if len(observed) <= MIN_PEERS:
+            # Too few to compare: latency then counts against no target.
             return NO_COMPARABLE_RATES
-    elif len(seen) <= MIN_PEERS:
-        seen = peers
-    return tuple(_compute_peer_rate(service, peer, indicator) for peer in seen)
+    elif len(observed) <= MIN_PEERS:
+        observed = peers
+    return tuple(
+        _compute_peer_rate(service, peer, indicator) for peer in observed
+    )
 
 
 def _is_observed(service: ServiceState, peer: TargetRecord) -> bool:
@@ -186,7 +193,7 @@
 ) -> float:
     bound = SUSPICIOUS_RATE
     if indicator in LATENCY_INDICATORS:
-        # One late answer in a row of one is nothing.
+        # A single late answer, with none before it, is no evidence.
         bound = SUSPICIOUS_SLOW_RATE
     suspects = sum(rate >= bound for rate in rates)
     tolerated = 1 + service.tuning.tolerated_suspect_share * len(rates)
@@ -205,8 +212,8 @@
         return 0
     requests = 0
     failures = 0
-    for statement in service.reports.for_target(target):
-        if statement.indicator is indicator:
-            requests += statement.evidence.requests
-            failures += statement.evidence.failures
+    for received in service.reports.for_target(target):
+        if received.indicator is indicator:
+            requests += received.evidence.requests
+            failures += received.evidence.failures
     return compute_rate(peer.tallies[indicator], requests, failures)
--- a/hillfield/detection/sharing.py
+++ b/hillfield/detection/sharing.py
@@ -1,10 +1,11 @@
-"""Tell other nodes and hear them."""
+"""Exchange evidence with other nodes."""
 
 from collections.abc import Iterator
 from typing import Final
 
 from msgspec import Struct
 
+from hillfield.detection.evaluation import evaluate_target
 from hillfield.detection.evidence import Evidence, Symptom
 from hillfield.detection.health import Health
 from hillfield.detection.indicators import Indicator
@@ -25,10 +26,9 @@
     MAX_RECENT_EJECTIONS,
     compute_absence,
 )
-from hillfield.detection.evaluation import evaluate_target
 
 MIN_SCORE: Final = 1.5
-# A single slow answer is common and not worth telling.
+# A single slow answer is common and not worth sending.
 MIN_SLOW_SCORE: Final = 2.3
 MIN_SCORES: Final = (
     MIN_SCORE,
@@ -37,6 +37,7 @@
     MIN_SCORE,
     MIN_SCORE,
 )
+# Seconds since the last failure.
 MAX_EVIDENCE_AGE: Final = 5
 MAX_PIECES_SENT: Final = 32
 
@@ -47,15 +48,15 @@
 
 
 def select_evidence(service: ServiceState, now: float) -> tuple[Evidence, ...]:
-    """Return this node's own evidence, the weightiest first."""
-    accused = [
+    """Return this node's own evidence, the strongest first."""
+    failing = [
         record
         for target in sorted(service.failing_targets)
         if (record := service.records.get(target)) is not None
     ]
     scored = [
         scored
-        for record in accused
+        for record in failing
         if record.health is not Health.DRAINING
         for scored in _score_target(record, now)
     ]
@@ -66,17 +67,17 @@
 def receive_evidence(
     service: ServiceState,
     node: str,
-    statements: tuple[ReceivedEvidence, ...],
+    received: tuple[ReceivedEvidence, ...],
     now: float,
 ) -> None:
-    """Weigh what another node tells."""
-    sound = tuple(filter(_is_consistent, statements))
-    accused_now = service.reports.replace_report(node, sound)
-    if accused_now:
-        # What is said of the others tells what is usual now.
+    """Adopt another node's evidence and evaluate the targets it names."""
+    consistent = tuple(filter(_is_consistent, received))
+    newly_failing = service.reports.replace_report(node, consistent)
+    if newly_failing:
+        # Evidence on the peers changes the rate to compare with.
         update_weights(service, now)
-    for accused in accused_now:
-        record = service.records.get(accused)
+    for target in newly_failing:
+        record = service.records.get(target)
         if record is None:
             continue
         if record.health is Health.EJECTED:
@@ -85,8 +86,8 @@
             evaluate_target(service, record, now)
 
 
-def _is_consistent(statement: ReceivedEvidence) -> bool:
-    evidence = statement.evidence
+def _is_consistent(received: ReceivedEvidence) -> bool:
+    evidence = received.evidence
     if evidence.symptom is Symptom.NONE:
         return False
     return 0 < evidence.failures <= evidence.requests
@@ -104,7 +105,7 @@
         tally = record.tallies[indicator]
         if not tally.failures or now - tally.failed_at > MAX_EVIDENCE_AGE:
             continue
-        # By the plain weights: where all fail, all must hear of it.
+        # Scored by the base weights: that all targets fail is reported too.
         weights = BASE_WEIGHTS[indicator]
         score = weights.score(tally.requests, tally.failures)
         if score < MIN_SCORES[indicator]:
@@ -133,11 +134,11 @@
 def _extend_ejection(
     service: ServiceState, record: TargetRecord, now: float
 ) -> None:
-    # Another node's trial has failed, so this one need not try as well.
-    # A node that the floor makes use the target tells of it all the time,
-    # which counts only when this node's own trial is near.
-    rest = record.out_until - now
-    if rest > compute_absence(service, record) / 2:
+    # Another node's trial has failed, so this node need not try as well.
+    # A node whose floor keeps the target in use sends evidence all the time,
+    # so that it counts only when this node's own trial is near.
+    remaining = record.out_until - now
+    if remaining > compute_absence(service, record) / 2:
         return
     record.recent_ejections = min(
         MAX_RECENT_EJECTIONS, record.recent_ejections + 1
--- a/hillfield/detection/summaries.py
+++ b/hillfield/detection/summaries.py
@@ -1,4 +1,4 @@
-"""Sum up many trials of detection."""
+"""Summaries of many simulations of detection."""
 
 from collections.abc import Iterable
 from statistics import median
@@ -15,11 +15,12 @@
 
 
 class Summary(Struct, frozen=True):
-    """Hold the figures of trials alike.
+    """Hold the figures of runs that differ in their seed only.
 
-    Times are seconds; None where the target never left (at `p99`: where it
-    stayed in one trial in a hundred or more). `false_ejections` are per
-    hour of one healthy target at one node.
+    Times are in seconds; None where the target was never taken out of
+    rotation (at `p99`: where it stayed in one run in a hundred or more).
+    `false_ejections_per_target_hour` is per hour of one healthy target at one
+    node.
     """
 
     size: str
@@ -42,32 +43,32 @@
     cost: float,
     seeds: Iterable[int],
 ) -> tuple[Trial, ...]:
-    """Return one trial a seed; `cost` is the late detection's."""
+    """Return one run per seed; `cost` is that of a late detection."""
     policy = ServicePolicy('measured', late_detection_cost=cost)
     return tuple(Trial(size, trouble, seed, board, policy) for seed in seeds)
 
 
 def summarise(measurements: tuple[Measurement, ...]) -> Summary:
-    """Sum up the measurements of trials that differ in their seed only."""
-    trial = measurements[0].trial
+    """Summarize measurements that differ in their seed only."""
+    simulation = measurements[0].trial
     times = sorted(
-        float('inf') if found.detected is None else found.detected
-        for found in measurements
+        float('inf') if measured.detected is None else measured.detected
+        for measured in measurements
     )
-    false_ejections = sum(found.false_ejections for found in measurements)
-    hours = sum(found.target_hours for found in measurements)
+    false_ejections = sum(each.false_ejections for each in measurements)
+    hours = sum(each.target_hours for each in measurements)
     return Summary(
-        trial.size.name,
-        trial.trouble,
-        trial.board,
-        trial.policy.late_detection_cost,
+        simulation.size.name,
+        simulation.trouble,
+        simulation.board,
+        simulation.policy.late_detection_cost,
         len(times),
         _or_none(median(times)),
         _or_none(_select_percentile(times)),
-        median(found.late_share for found in measurements),
+        median(each.late_share for each in measurements),
         false_ejections,
-        false_ejections / (hours * trial.size.nodes),
-        min(found.least_kept for found in measurements),
+        false_ejections / (hours * simulation.size.nodes),
+        min(each.least_kept for each in measurements),
     )
 
 
--- a/hillfield/detection/tallies.py
+++ b/hillfield/detection/tallies.py
@@ -11,11 +11,11 @@
 
 @dataclass(slots=True)
 class Tally:
-    """Count a run of requests since the target last looked well.
+    """Count a run of requests since the target last looked healthy.
 
-    The run is what a cumulative sum test keeps: it restarts when its score
-    falls to 0. Kept as counts rather than as a sum, it can be scored again
-    whenever the peers' rate changes. `recent_*` count all requests.
+    The run is that of a cumulative sum (CUSUM) test: it restarts when its
+    score falls to 0. Kept as counts rather than as a sum, it can be scored
+    again whenever the peers' rate changes. `recent_*` count all requests.
     """
 
     requests: float = 0
@@ -46,12 +46,12 @@
 
     @property
     def has_counts(self) -> bool:
-        """Return whether anything is worth keeping."""
+        """Return whether any counts are large enough to keep."""
         return self.recent_requests > NEGLIGIBLE_COUNT or self.failures > 0
 
     @property
     def has_failures(self) -> bool:
-        """Return whether failures are among what is kept."""
+        """Return whether failures are among the counts to keep."""
         return self.recent_failures > NEGLIGIBLE_COUNT or self.failures > 0
 
     def reset_run(self) -> None:
@@ -61,7 +61,7 @@
         self.unanswered = 0
 
     def decay(self, factor: float, run_factor: float) -> None:
-        """Let the recent counts and those of the run fade."""
+        """Reduce the recent counts and those of the run."""
         self.recent_requests *= factor
         self.recent_failures *= factor
         if not self.failures:
@@ -76,9 +76,9 @@
 def compute_rate(tally: Tally, requests: float, failures: float) -> float:
     """Return how often a peer fails now, for comparison.
 
-    `requests` and `failures` are what other nodes count in their runs. The
-    peer's present run is looked at as well as its recent requests: when all
-    targets begin to fail at once, the runs show it first.
+    `requests` and `failures` are the counts of other nodes' runs. The rate
+    is the higher of those of the peer's present run and of its recent
+    requests: when all targets begin to fail at once, the runs show it first.
     """
     failures += tally.failures
     if not failures and not tally.recent_failures:
--- a/hillfield/detection/tests/test_busy_host.py
+++ b/hillfield/detection/tests/test_busy_host.py
@@ -7,8 +7,8 @@
 of the time.
 """
 
-from hillfield.events import EventCode
 from hillfield.detection.tests.test_healthdetector import SICK, TARGETS, Service
+from hillfield.events import EventCode
 from hillfield.routing.requests import Answered, TimedOut
 
 PEERS = tuple(target.id for target in TARGETS[1:])
--- a/hillfield/detection/ticks.py
+++ b/hillfield/detection/ticks.py
@@ -1,4 +1,4 @@
-"""Let the time of a trial pass: ticks, exchanges, probes and restarts."""
+"""Periodic work of a simulation: ticks, evidence, probes and restarts."""
 
 from ipaddress import IPv4Address
 from typing import Final
@@ -14,6 +14,7 @@
 from hillfield.detection.trouble import INNOCENT, ONSET, ModelTarget, Trouble
 from hillfield.events import EventCode, Occurrence
 
+# Seconds.
 TICK: Final = 0.1
 TICKS_PER_EXCHANGE: Final = 2
 TICKS_PER_PROBE: Final = 10
@@ -26,7 +27,7 @@
 
 
 def tick_detectors(fleet: ModelFleet, number: int) -> None:
-    """Tick all boards; exchange evidence, probe and restart when due."""
+    """Tick all detectors; exchange evidence, probe and restart when due."""
     now = number * TICK
     for node in fleet.nodes:
         for occurrence in node.detector.tick(now):
@@ -36,8 +37,8 @@
         _exchange(fleet, now)
     if fleet.simulation.probes and number % TICKS_PER_PROBE == 0:
         _probe(fleet, now)
-    cold = fleet.simulation.trouble is Trouble.COLD_START
-    if cold and now >= ONSET and number % TICKS_PER_RESTART == 0:
+    is_cold_start = fleet.simulation.trouble is Trouble.COLD_START
+    if is_cold_start and now >= ONSET and number % TICKS_PER_RESTART == 0:
         _restart(fleet, now)
 
 
@@ -46,8 +47,8 @@
     node: ModelNode,
     occurrence: Occurrence,
 ) -> None:
-    is_sick = occurrence.target == str(fleet.faulty)
-    if is_sick and (
+    is_faulty = occurrence.target == str(fleet.faulty)
+    if is_faulty and (
         fleet.simulation.trouble in TARGET_FAULTS
         or node.number in fleet.cut_nodes
     ):
@@ -71,12 +72,14 @@
 
 
 def _probe(fleet: ModelFleet, now: float) -> None:
-    failing = (
+    is_failing = (
         fleet.simulation.trouble is Trouble.FAILING_PROBES and now >= ONSET
     )
     for node in fleet.nodes:
         for target in fleet.targets:
-            node.detector.observe_probe(now, target, not failing, PROBE_SECONDS)
+            node.detector.observe_probe(
+                now, target, not is_failing, PROBE_SECONDS
+            )
 
 
 def _restart(fleet: ModelFleet, now: float) -> None:
--- a/hillfield/detection/traffic.py
+++ b/hillfield/detection/traffic.py
@@ -1,20 +1,21 @@
-"""Send modelled requests through the boards of a trial."""
+"""Send modelled requests through the detectors of a simulation."""
 
 from heapq import heappop, heappush
 from typing import Final
 
-from hillfield.detection.modelfleet import PendingCall, ModelFleet, ModelNode
+from hillfield.detection.modelfleet import ModelFleet, ModelNode, PendingCall
 from hillfield.detection.rotation import Candidate
 from hillfield.detection.trouble import ONSET, Call, compute_rate_factor
 from hillfield.model import Target
 from hillfield.routing.requests import ConnectFailed
 
+# Seconds.
 SAME_DOMAIN_ROUND_TRIP: Final = 0.0005
 CROSS_DOMAIN_ROUND_TRIP: Final = 0.003
 
 
 def run_until(fleet: ModelFleet, until: float) -> None:
-    """Send what arrives and end what is due, in the order of time."""
+    """Send arriving requests and end those due, in the order of time."""
     while True:
         due = fleet.pending[0].at if fleet.pending else until
         now = min(due, fleet.next_arrival)
@@ -67,10 +68,10 @@
     chosen: Target,
     now: float,
 ) -> Call:
-    near = node.locality.failure_domain == chosen.locality.failure_domain
-    cut = chosen.id == fleet.faulty and node.number in fleet.cut_nodes
-    path = SAME_DOMAIN_ROUND_TRIP if near else CROSS_DOMAIN_ROUND_TRIP
-    return fleet.targets[chosen.id].call(now, path, cut)
+    is_near = node.locality.failure_domain == chosen.locality.failure_domain
+    is_cut = chosen.id == fleet.faulty and node.number in fleet.cut_nodes
+    round_trip = SAME_DOMAIN_ROUND_TRIP if is_near else CROSS_DOMAIN_ROUND_TRIP
+    return fleet.targets[chosen.id].call(now, round_trip, is_cut)
 
 
 def _choose(
@@ -94,7 +95,7 @@
 
 
 def update_detection(fleet: ModelFleet, node: ModelNode, now: float) -> None:
-    """Note when the sick target is out of rotation everywhere."""
+    """Record when the faulty target is out of rotation at all nodes."""
     rotation = node.detector.rotation()
     if rotation is node.last_rotation:
         return
--- a/hillfield/detection/transitions.py
+++ b/hillfield/detection/transitions.py
@@ -1,4 +1,4 @@
-"""Carry a target from state to state along its chart."""
+"""Move a target between the states of its health chart."""
 
 from typing import Final
 from zlib import crc32
@@ -6,8 +6,8 @@
 from hillfield.charts import Refusal
 from hillfield.detection.evidence import Symptom
 from hillfield.detection.health import (
-    HEALTH_CHART,
     EVENT_CODES,
+    HEALTH_CHART,
     Health,
     HealthTrigger,
 )
@@ -15,6 +15,7 @@
 from hillfield.detection.service import ServiceState
 from hillfield.events import Occurrence
 
+# Part of an absence by which jitter prolongs it at most.
 MAX_JITTER: Final = 1.0
 CRC32_RANGE: Final = 4294967296
 MAX_RECENT_EJECTIONS: Final = 10
@@ -26,15 +27,15 @@
     trigger: HealthTrigger,
     now: float,
 ) -> bool:
-    """Take the chart's step, if it has one, and report it."""
-    step = HEALTH_CHART.follow(record.health, trigger)
-    if isinstance(step, Refusal):
+    """Make the chart's transition, if it has one, and report it."""
+    transition = HEALTH_CHART.follow(record.health, trigger)
+    if isinstance(transition, Refusal):
         return False
-    record.health = step.state
+    record.health = transition.state
     record.since = now
     service.rotation_outdated = True
     service.unsettled_targets.add(record.target.id)
-    code = EVENT_CODES.get(step.action)
+    code = EVENT_CODES.get(transition.action)
     if code is not None:
         service.occurrences.append(
             Occurrence(
@@ -53,7 +54,7 @@
     trigger: HealthTrigger,
     now: float,
 ) -> None:
-    """Eject or avoid a target for a time that grows with its strikes."""
+    """Eject or avoid a target, for longer after each recent ejection."""
     if apply_trigger(service, record, trigger, now):
         record.recent_ejections = min(
             MAX_RECENT_EJECTIONS, record.recent_ejections + 1
@@ -64,16 +65,16 @@
 
 
 def compute_absence(service: ServiceState, record: TargetRecord) -> float:
-    """Return for how many seconds the target is to stay out.
+    """Return for how many seconds the target is to stay out of rotation.
 
-    Nodes come back at different times, so that one of them finds out first
-    and the others hear of it.
+    Jitter by node and target lets one node try the target before the
+    others do and report to them what it found.
     """
     tuning = service.tuning
-    least = tuning.ejection_seconds
+    shortest = tuning.ejection_seconds
     if record.health is Health.AVOIDED:
-        least = tuning.avoidance_seconds
-    absence = least * 2 ** (record.recent_ejections - 1)
+        shortest = tuning.avoidance_seconds
+    absence = shortest * 2 ** (record.recent_ejections - 1)
     key = service.locality.host + str(record.target.id)
     jitter = MAX_JITTER * crc32(key.encode()) / CRC32_RANGE
     return float(min(absence, tuning.max_ejection_seconds) * (1 + jitter))
@@ -91,7 +92,7 @@
 def restore_target(
     service: ServiceState, record: TargetRecord, now: float
 ) -> None:
-    """Give the target its full share again."""
+    """Return the target to its full share after its trial."""
     record.reason = 'its trial requests succeeded'
     record.symptom = Symptom.NONE
     record.severity = 0
--- a/hillfield/detection/trials.py
+++ b/hillfield/detection/trials.py
@@ -1,4 +1,4 @@
-"""What a measurement of detection is asked to do."""
+"""Simulations of detection: services, disturbances and detectors."""
 
 from enum import StrEnum
 from typing import Final
@@ -10,14 +10,18 @@
 
 
 class BoardKind(StrEnum):
-    """Name a way of detection."""
+    """Name a kind of detector."""
 
     HEALTH = 'health'
     BASELINE = 'baseline'
 
 
 class Size(Struct, frozen=True):
-    """Describe a service; `rate` is requests a second over all nodes."""
+    """Describe a service.
+
+    `rate` is in requests per second over all nodes, `median` the usual
+    seconds to answer one.
+    """
 
     name: str
     targets: int
@@ -51,7 +55,7 @@
 
 
 class Trial(Struct, frozen=True):
-    """Say what to measure."""
+    """Describe one simulated run."""
 
     size: Size
     trouble: Trouble
--- a/hillfield/detection/trouble.py
+++ b/hillfield/detection/trouble.py
@@ -1,4 +1,4 @@
-"""What can be wrong with modelled targets, for measurements."""
+"""Disturbances of modelled targets, for simulations of detection."""
 
 from enum import StrEnum
 from heapq import heapreplace
@@ -19,6 +19,7 @@
 OK_STATUS: Final = 200
 WRONG_ANSWER: Final = Answered(OK_STATUS, wrong='prefix')
 RIGHT_ANSWER: Final = Answered(OK_STATUS)
+# Seconds after the start of a simulation.
 ONSET: Final = 6.0
 SLOWDOWN_SECONDS: Final = 8
 FLAP_SECONDS: Final = 3
@@ -37,7 +38,7 @@
 
 
 class Trouble(StrEnum):
-    """Name a kind of trouble; the second half accuses no target."""
+    """Name a disturbance; from `ONE_WAY` on none is a fault of a target."""
 
     SLOW_FIVEFOLD = 'slow5'
     SLOW_TWOFOLD = 'slow2'
@@ -71,7 +72,7 @@
 
 
 class Call(Struct, frozen=True):
-    """Say how a call will go: when its head and its end come (seconds)."""
+    """Hold how a call ends, and the times (s) of its head and its end."""
 
     head: float | None
     end: float
@@ -79,7 +80,7 @@
 
 
 class ModelTarget:
-    """Answer calls with a few slots, a queue and perhaps a trouble."""
+    """Answer calls with a few slots and a queue, under a disturbance."""
 
     def __init__(
         self,
@@ -88,7 +89,7 @@
         trouble: Trouble,
         random: Random,
     ) -> None:
-        """Start idle; `median` is its usual time to answer."""
+        """Start idle; `median` is the usual seconds to answer."""
         self.target = target
         self.started: float = -COLD_SECONDS
         self._median = median
@@ -96,18 +97,18 @@
         self._random = random
         self._free = list[float](0 for _ in range(target.slots))
 
-    def call(self, now: float, path: float, cut: bool) -> Call:
-        """Return how a call goes; `path` is its round trip."""
-        if cut and now >= ONSET:
+    def call(self, now: float, round_trip: float, is_cut: bool) -> Call:
+        """Return how a call at this time ends, and when."""
+        if is_cut and now >= ONSET:
             end = now + CONNECT_SECONDS
             return Call(None, end, ConnectFailed('no route'))
         if self._trouble is Trouble.STALL and now >= ONSET:
             return Call(None, now + REQUEST_SECONDS, TimedOut())
-        took = self._random.lognormvariate(log(self._median), LATENCY_SIGMA)
+        seconds = self._random.lognormvariate(log(self._median), LATENCY_SIGMA)
         begun = max(now, self._free[0])
-        done = begun + took * self._compute_latency_factor(now)
+        done = begun + seconds * self._compute_latency_factor(now)
         heapreplace(self._free, done)
-        head = done + path
+        head = done + round_trip
         if head > now + REQUEST_SECONDS:
             return Call(None, now + REQUEST_SECONDS, TimedOut())
         return Call(head, head, self._draw_answer(now))
@@ -144,7 +145,7 @@
 
 
 def compute_rate_factor(trouble: Trouble, now: float) -> float:
-    """Return by how much more requests arrive than usual."""
+    """Return the rate of arrivals as a multiple of the usual one."""
     if trouble is Trouble.BURSTS and now >= ONSET:
         return BURST_FACTOR if now % BURST_PERIOD < 1 else 1
     return 1
--- a/hillfield/detection/tuning.py
+++ b/hillfield/detection/tuning.py
@@ -1,4 +1,4 @@
-"""The constants of detection in one place."""
+"""The constants of detection."""
 
 from math import log
 from typing import Final
@@ -12,13 +12,15 @@
 
 
 class Tuning(Struct, frozen=True):
-    """Hold what the decisions are tuned by; times are in seconds.
-
-    `threshold` is the log-likelihood ratio at which a target counts as sick
-    when late detection and false ejection cost the same; `node_penalty` is added
-    for each further node whose counts are pooled, since each node chose the
-    worst stretch of its own; `half_life` is how fast counts are forgotten,
-    longer when there is little traffic, so that `kept_requests` remain.
+    """Hold the constants of the decisions; times are in seconds.
+
+    `threshold` is the log-likelihood ratio at which a target counts as
+    unhealthy when late detection and false ejection cost the same;
+    `node_penalty` is added for each further node whose counts are pooled,
+    since each node chose the worst run of its own; `half_life` is how fast
+    counts decay, longer when there is little traffic, so that
+    `kept_requests` remain; `seconds_per_ejection` is how long a target must
+    be healthy for one of its recent ejections to be disregarded.
     """
 
     threshold: float = 8.5
@@ -47,7 +49,7 @@
 
 
 def compute_threshold(policy: ServicePolicy, tuning: Tuning) -> float:
-    """Return the log-likelihood ratio from which on a target is sick.
+    """Return the log-likelihood ratio from which a target is unhealthy.
 
     Wald's test puts the bound at the logarithm of the ratio of the costs, so
     a late detection that costs e times more lowers the bound by one.
