--- a/hillfield/charts/__init__.py
+++ b/hillfield/charts/__init__.py
@@ -1,4 +1,4 @@
-"""State charts that lie in files and are interpreted."""
+"""State charts that are read from files and interpreted."""
 
 from hillfield.charts.charts import (
     BoundChart,
--- a/hillfield/charts/charts.py
+++ b/hillfield/charts/charts.py
@@ -1,4 +1,4 @@
-"""Read and follow state charts that lie in TOML files."""
+"""Read and follow state charts in TOML files."""
 
 import tomllib
 from collections.abc import Iterable, Mapping
@@ -24,7 +24,7 @@
 
 
 class BoundChart(Struct, Generic[States, Triggers, Actions], frozen=True):
-    """Follow a chart in the caller's own types."""
+    """Hold a chart in the caller's own types."""
 
     initial: States
     transitions: Mapping[
@@ -36,13 +36,13 @@
         state: States,
         trigger: Triggers,
     ) -> BoundTransition[States, Actions] | Refusal:
-        """Return the step that the trigger causes, or a refusal."""
-        step = self.transitions.get((state, trigger))
-        return Refusal(state, trigger) if step is None else step
+        """Return the transition for the trigger, or a report of its absence."""
+        transition = self.transitions.get((state, trigger))
+        return Refusal(state, trigger) if transition is None else transition
 
 
 class Chart(Struct, frozen=True):
-    """Hold a checked chart.
+    """Hold a validated chart.
 
     >>> chart = parse_chart('''
     ... initial = 'closed'
@@ -61,9 +61,9 @@
     transitions: Mapping[tuple[str, str], Transition]
 
     def follow(self, state: str, trigger: str) -> Transition | Refusal:
-        """Return the step that the trigger causes, or a refusal."""
-        step = self.transitions.get((state, trigger))
-        return Refusal(state, trigger) if step is None else step
+        """Return the transition for the trigger, or a report of its absence."""
+        transition = self.transitions.get((state, trigger))
+        return Refusal(state, trigger) if transition is None else transition
 
     def bind(
         self,
@@ -82,20 +82,20 @@
         _require_same(
             'actions',
             actions,
-            (step.action for step in self.transitions.values()),
+            (transition.action for transition in self.transitions.values()),
         )
-        steps = {
+        transitions = {
             (states(state), triggers(trigger)): BoundTransition(
-                states(step.state),
-                actions(step.action),
+                states(transition.state),
+                actions(transition.action),
             )
-            for (state, trigger), step in self.transitions.items()
+            for (state, trigger), transition in self.transitions.items()
         }
-        return BoundChart(states(self.initial), MappingProxyType(steps))
+        return BoundChart(states(self.initial), MappingProxyType(transitions))
 
 
 def read_chart(package_file: Traversable) -> Chart:
-    """Read a chart that ships with the package; raise ChartError if wrong.
+    """Read a chart of the package; raise ChartError if it is invalid.
 
     Usual call: `read_chart(files('hillfield.detection') / 'health.toml')`.
     """
@@ -124,8 +124,8 @@
         frozenset(tables),
         MappingProxyType(_collect_transitions(tables)),
     )
-    fault = _find_error(chart)
-    return Error(fault) if fault else Ok(chart)
+    problem = _find_problem(chart)
+    return Error(problem) if problem else Ok(chart)
 
 
 def _collect_transitions(
@@ -133,16 +133,16 @@
 ) -> dict[tuple[str, str], Transition]:
     return {
         (state, trigger): Transition(
-            str(arrow.get('to', state)),
-            str(arrow.get('action', NO_ACTION)),
+            str(arc.get('to', state)),
+            str(arc.get('action', NO_ACTION)),
         )
-        for state, arrows in tables.items()
-        for trigger, arrow in arrows.items()
+        for state, arcs in tables.items()
+        for trigger, arc in arcs.items()
     }
 
 
-def _find_error(chart: Chart) -> str:
-    named = {step.state for step in chart.transitions.values()} | {
+def _find_problem(chart: Chart) -> str:
+    named = {transition.state for transition in chart.transitions.values()} | {
         chart.initial
     }
     unknown = named - chart.states
@@ -160,8 +160,8 @@
     while size < len(reached):
         size = len(reached)
         reached |= {
-            step.state
-            for (state, _), step in chart.transitions.items()
+            transition.state
+            for (state, _), transition in chart.transitions.items()
             if state in reached
         }
     return reached
--- a/hillfield/charts/tests/test_charts.py
+++ b/hillfield/charts/tests/test_charts.py
@@ -1,4 +1,4 @@
-"""Tests of reading and following charts."""
+"""Test reading and following charts."""
 
 from enum import StrEnum
 
@@ -36,7 +36,7 @@
     NONE = 'none'
 
 
-def test_bound_chart_answers_in_the_callers_types():
+def test_bound_chart_uses_the_types_of_the_caller():
     chart = parse_chart(DOOR).ok.bind(DoorState, DoorTrigger, DoorAction)
     step = chart.follow(chart.initial, DoorTrigger.PUSH)
     assert step == BoundTransition(DoorState.OPEN, DoorAction.RING)
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    ('text', 'fault'),
+    ('text', 'error'),
     [
         ('states = [', 'not TOML'),
         ('[states.closed]', 'no initial state'),
@@ -53,11 +53,11 @@
         (f'{DOOR}\n[states.lost]', 'unreachable states: lost'),
     ],
 )
-def test_wrong_charts_are_refused(text, fault, tmp_path):
-    assert fault in parse_chart(text).error
+def test_invalid_charts_are_refused(text, error, tmp_path):
+    assert error in parse_chart(text).error
     chart_file = tmp_path / 'door.toml'
     chart_file.write_text(text)
-    with pytest.raises(ChartError, match=f'door.toml: {fault}'):
+    with pytest.raises(ChartError, match=f'door.toml: {error}'):
         read_chart(chart_file)
 
 
--- a/hillfield/charts/transitions.py
+++ b/hillfield/charts/transitions.py
@@ -1,4 +1,4 @@
-"""What following a chart gives."""
+"""Transitions of state charts."""
 
 from enum import StrEnum
 from typing import Generic, TypeVar
@@ -10,7 +10,7 @@
 
 
 class ChartError(ValueError):
-    """Say what is wrong with a chart; it is a fault of the package."""
+    """Report an invalid chart, which is a fault of the package."""
 
 
 class Transition(Struct, frozen=True):
@@ -21,7 +21,7 @@
 
 
 class Refusal(Struct, frozen=True):
-    """Say that the chart has no such transition."""
+    """Report that the chart has no such transition."""
 
     state: str
     trigger: str
--- a/hillfield/clocks/__init__.py
+++ b/hillfield/clocks/__init__.py
@@ -1,4 +1,4 @@
-"""The clocks by which nodes decide and date."""
+"""The clocks for durations and for dates."""
 
 from hillfield.clocks.clocks import TOLERATED, monotonic, read_wall
 
--- a/hillfield/clocks/clocks.py
+++ b/hillfield/clocks/clocks.py
@@ -1,30 +1,30 @@
-"""The clock by which nodes decide, and the one by which they date.
+"""The clock for deadlines and durations, and the one for dates.
 
-A host may be suspended for seconds. Its steady clock stands still meanwhile,
-so a node that decides by it wakes with deadlines, leases and evidence that look
-as fresh as before its sleep, and hands targets more time than is left.
+A host may be suspended for seconds, while its CLOCK_MONOTONIC stands still. A
+node that used it would resume with deadlines, leases and evidence that look as
+fresh as before, and would hand targets more time than is left.
 """
 
 from time import CLOCK_BOOTTIME, clock_gettime, time_ns
 from typing import Final
 
-# Seconds by which what is due may come late without anything having been missed.
+# Seconds by which due work may be late without anything having been missed.
 TOLERATED: Final = 0.05
 _NANOSECONDS_PER_MILLISECOND: Final = 1_000_000
 
 
 def monotonic() -> float:
-    """Return seconds that never go back, those of a suspension among them.
+    """Return seconds that never decrease and include suspensions.
 
     For all that ends after a time: deadlines, heartbeats, the age of evidence,
-    pauses, limits of accounts. It says nothing between two hosts.
+    pauses, limits of accounts. The values of two hosts are not comparable.
     """
     return clock_gettime(CLOCK_BOOTTIME)
 
 
 def read_wall() -> int:
-    """Return the milliseconds since 1970: for dates that other hosts read.
+    """Return the milliseconds since 1970, for dates that other hosts read.
 
-    It may be set back or ahead, so no wait ends by it.
+    The clock may be set back or ahead, so no wait may depend on it.
     """
     return time_ns() // _NANOSECONDS_PER_MILLISECOND
--- a/hillfield/clocks/tests/test_clocks.py
+++ b/hillfield/clocks/tests/test_clocks.py
@@ -1,4 +1,4 @@
-"""A host that is suspended: its steady clock and that of its nodes move apart."""
+"""Test a suspended host, whose CLOCK_MONOTONIC and node clock differ."""
 
 import asyncio
 import time
@@ -10,7 +10,7 @@
 from hillfield.events import EventCode, TimelineFilter
 from hillfield.platform.tests.installation import open_installation
 
-SLEEP = 5.0
+SUSPENSION_SECONDS = 5.0
 EVERYTHING = TimelineFilter()
 
 
@@ -27,54 +27,59 @@
 
 @fixture
 def suspension(monkeypatch):
-    """Move the clock of decisions apart from that of the loop."""
-    made = Suspension()
-    monkeypatch.setattr(clocks, 'clock_gettime', made.read)
-    return made
+    """Let the node's clock differ from that of the event loop."""
+    simulated = Suspension()
+    monkeypatch.setattr(clocks, 'clock_gettime', simulated.read)
+    return simulated
 
 
-def test_the_seconds_of_a_suspension_count(suspension):
+def test_seconds_of_a_suspension_count(suspension):
     before, steady = monotonic(), time.monotonic()
-    suspension.seconds = SLEEP
-    assert monotonic() - before >= SLEEP
-    assert time.monotonic() - steady < SLEEP
+    suspension.seconds = SUSPENSION_SECONDS
+    assert monotonic() - before >= SUSPENSION_SECONDS
+    assert time.monotonic() - steady < SUSPENSION_SECONDS
 
 
-def test_a_wall_clock_that_is_set_ends_no_wait(monkeypatch):
+def test_setting_the_wall_clock_does_not_affect_monotonic(monkeypatch):
     before = monotonic()
     monkeypatch.setattr(clocks, 'time_ns', int)
     assert clocks.read_wall() == 0
-    assert monotonic() == approx(before, abs=SLEEP)
+    assert monotonic() == approx(before, abs=SUSPENSION_SECONDS)
 
 
-def test_what_waits_through_a_suspension_is_not_sent_on(tmp_path, suspension):
-    async def story(site):
-        for host in site.hosts:
+def test_request_that_waited_through_a_suspension_is_not_sent_again(
+    tmp_path, suspension
+):
+    async def scenario(installation):
+        for host in installation.hosts:
             host.target.mood = 'hang'
-        asked = site.send(site.hosts[0], '/reads/', 'a', 'GET', deadline=2000)
-        sent = asyncio.create_task(asked)
+        request = installation.send(
+            installation.hosts[0], '/reads/', 'a', 'GET', deadline=2000
+        )
+        sent = asyncio.create_task(request)
         await asyncio.sleep(0.2)
-        runs = len(site.find_runs('a'))
-        suspension.seconds = SLEEP
+        runs = len(installation.find_runs('a'))
+        suspension.seconds = SUSPENSION_SECONDS
         answer = await sent
         assert answer.code == 504
-        assert len(site.find_runs('a')) == runs
+        assert len(installation.find_runs('a')) == runs
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_node_notices_that_it_was_suspended(tmp_path, suspension):
-    async def story(site):
-        suspension.seconds = SLEEP
-        await site.settle(partial_of(site))
+def test_node_detects_that_it_was_suspended(tmp_path, suspension):
+    async def scenario(installation):
+        suspension.seconds = SUSPENSION_SECONDS
+        await installation.settle(check_noticed(installation))
 
-    play(tmp_path, story)
+    run_scenario(tmp_path, scenario)
 
 
-def partial_of(site):
+def check_noticed(installation):
     async def has_noticed():
         return all(
-            EventCode.PAUSE_NOTICED in list_codes(host) for host in site.hosts
+            EventCode.PAUSE_NOTICED in list_codes(host)
+            for host in installation.hosts
         )
 
     return has_noticed
@@ -85,9 +90,11 @@
     return {entry.code for entry in entries}
 
 
-def play(folder, story):
-    async def act():
-        async with open_installation(folder, ('refunds', 'refunds')) as site:
-            await story(site)
+def run_scenario(folder, scenario):
+    async def run():
+        async with open_installation(
+            folder, ('refunds', 'refunds')
+        ) as installation:
+            await scenario(installation)
 
-    asyncio.run(act())
+    asyncio.run(run())
--- a/hillfield/detection/modelfleet.py
+++ b/hillfield/detection/modelfleet.py
@@ -52,8 +52,8 @@
     """Hold the state of one simulation; times are in seconds.
 
     `faulty` is the target that the disturbance affects, `cut_nodes` are the
-    nodes that cannot connect to it; `detected` is the time from which no
-    affected node sent it work (None: not yet).
+    nodes that cannot connect to it; `detected` is the time of its last
+    request before all affected nodes had it out of rotation (None: not yet).
     """
 
     simulation: Trial
--- a/hillfield/detection/tests/test_healthdetector.py
+++ b/hillfield/detection/tests/test_healthdetector.py
@@ -1,4 +1,4 @@
-"""Tests of the judgement of targets by real requests."""
+"""Test the detection of unhealthy targets from real requests."""
 
 import pytest
 from msgspec.structs import replace
@@ -47,15 +47,15 @@
 
 
 TARGETS = tuple(make_target(number) for number in range(1, 7))
-SICK = TARGETS[0].id
+UNHEALTHY = TARGETS[0].id
 
 
-class Service:
-    """Send requests one by one; a target may be told how to answer."""
+class ServiceDriver:
+    """Send requests one by one to targets that answer as asked."""
 
     def __init__(self, policy: ServicePolicy = PLAIN) -> None:
-        self.board = HealthBoard(policy, HERE)
-        self.board.adopt_targets(0, TARGETS)
+        self.detector = HealthBoard(policy, HERE)
+        self.detector.adopt_targets(0, TARGETS)
         self.now: float = 0
         self.attempt = 0
         self.codes: list[EventCode] = []
@@ -67,15 +67,15 @@
         seconds: float = 0.03,
     ) -> None:
         self.attempt += 1
-        self.board.note_started(self.now, target, self.attempt)
+        self.detector.note_started(self.now, target, self.attempt)
         ended = self.now + seconds
         if isinstance(observation, Answered):
-            self.board.note_head(ended, target, self.attempt)
-        self.board.observe(ended, target, self.attempt, observation)
+            self.detector.note_head(ended, target, self.attempt)
+        self.detector.observe(ended, target, self.attempt, observation)
 
     def pass_time(self, seconds: float = 0.1) -> None:
         self.now += seconds
-        for occurrence in self.board.tick(self.now):
+        for occurrence in self.detector.tick(self.now):
             self.codes.append(occurrence.code)
 
     def work(
@@ -86,27 +86,27 @@
         everywhere: bool = False,
     ) -> None:
         for _ in range(rounds):
-            for candidate in self.board.rotation().candidates:
+            for candidate in self.detector.rotation().candidates:
                 target = candidate.target.id
-                if everywhere or target == SICK:
+                if everywhere or target == UNHEALTHY:
                     self.call(target, observation, seconds)
                 else:
                     self.call(target)
             self.pass_time()
 
-    def serves(self, target: TargetId = SICK) -> bool:
+    def serves(self, target: TargetId = UNHEALTHY) -> bool:
         return self.share(target) > 0
 
-    def share(self, target: TargetId = SICK) -> float:
+    def share(self, target: TargetId = UNHEALTHY) -> float:
         return {
             candidate.target.id: candidate.share
-            for candidate in self.board.rotation().candidates
+            for candidate in self.detector.rotation().candidates
         }.get(target, 0)
 
-    def explain(self, target: TargetId = SICK) -> TargetExplanation:
+    def explain(self, target: TargetId = UNHEALTHY) -> TargetExplanation:
         return next(
             explanation
-            for explanation in self.board.explain(self.now)
+            for explanation in self.detector.explain(self.now)
             if explanation.target == target
         )
 
@@ -126,8 +126,8 @@
         ),
     ],
 )
-def test_sick_target_leaves_rotation(observation, seconds, symptom, code):
-    service = Service()
+def test_unhealthy_target_leaves_rotation(observation, seconds, symptom, code):
+    service = ServiceDriver()
     service.work(20)
     service.work(8, observation, seconds)
     assert not service.serves()
@@ -137,27 +137,27 @@
 
 
 @pytest.mark.parametrize('observation', [Shed(), CallerGone()])
-def test_shed_answers_and_lost_callers_accuse_nobody(observation):
-    service = Service()
+def test_shed_answers_and_lost_callers_are_no_evidence(observation):
+    service = ServiceDriver()
     service.work(20)
     service.work(30, observation)
     assert service.serves()
 
 
-def test_shed_answer_lowers_the_share_for_a_moment():
-    service = Service()
-    service.call(SICK, Shed())
+def test_shed_answer_lowers_the_share_for_a_second():
+    service = ServiceDriver()
+    service.call(UNHEALTHY, Shed())
     service.pass_time()
     assert service.share() == HALF
     service.pass_time(1.1)
     assert service.share() == 1
 
 
-def test_stall_shows_before_it_times_out():
-    service = Service()
+def test_stall_is_detected_before_it_times_out():
+    service = ServiceDriver()
     service.work(20)
     for attempt in range(1000, 1005):
-        service.board.note_started(service.now, SICK, attempt)
+        service.detector.note_started(service.now, UNHEALTHY, attempt)
     for _ in range(6):
         service.pass_time()
     assert not service.serves()
@@ -168,52 +168,52 @@
     ('observation', 'seconds'),
     [(WRONG, 0.03), (FINE, 0.15), (ConnectFailed('no'), 0.01)],
 )
-def test_what_all_targets_suffer_accuses_none(observation, seconds):
-    service = Service()
+def test_failures_of_all_targets_eject_none(observation, seconds):
+    service = ServiceDriver()
     service.work(20)
     service.work(20, observation, seconds, everywhere=True)
-    assert len(service.board.rotation().candidates) == len(TARGETS)
+    assert len(service.detector.rotation().candidates) == len(TARGETS)
 
 
-def test_time_outs_of_a_common_stall_eject_nobody():
-    service = Service()
+def test_time_outs_of_a_common_stall_eject_none():
+    service = ServiceDriver()
     service.work(20)
     started = [(target.id, call) for target in TARGETS for call in range(8)]
     for attempt, (target, _) in enumerate(started, start=1000):
-        service.board.note_started(service.now, target, attempt)
+        service.detector.note_started(service.now, target, attempt)
     for _ in range(20):
         service.pass_time()
     for attempt, (target, _) in enumerate(started, start=1000):
-        service.board.observe(service.now, target, attempt, TimedOut())
+        service.detector.observe(service.now, target, attempt, TimedOut())
         service.pass_time(0.05)
-    assert len(service.board.rotation().candidates) == len(TARGETS)
+    assert len(service.detector.rotation().candidates) == len(TARGETS)
 
 
-def test_one_error_in_little_traffic_accuses_nobody():
-    service = Service()
+def test_one_error_in_little_traffic_ejects_nothing():
+    service = ServiceDriver()
     service.work(3)
     service.pass_time(60)
-    service.call(SICK, WRONG)
+    service.call(UNHEALTHY, WRONG)
     service.pass_time()
     assert service.serves()
 
 
-def test_failing_probes_alone_accuse_nobody():
-    service = Service()
+def test_failing_probes_alone_eject_nothing():
+    service = ServiceDriver()
     service.work(5)
     for _ in range(50):
-        service.board.observe_probe(service.now, SICK, False, 0.025)
+        service.detector.observe_probe(service.now, UNHEALTHY, False, 0.025)
         service.work(1)
     assert service.serves()
 
 
-def test_probe_that_gets_through_ends_an_avoidance_with_a_trial():
-    service = Service()
+def test_successful_probe_ends_an_avoidance_with_a_trial():
+    service = ServiceDriver()
     service.work(20)
     service.work(6, ConnectFailed('no'))
     assert service.explain().state == 'avoided'
     service.work(20)
-    service.board.observe_probe(service.now, SICK, True, 0.025)
+    service.detector.observe_probe(service.now, UNHEALTHY, True, 0.025)
     service.work(21)
     assert service.explain().state == 'trial'
 
@@ -221,19 +221,21 @@
 def test_failing_probe_puts_a_trial_off():
     absences = []
     for healthy in (True, False):
-        service = Service()
+        service = ServiceDriver()
         service.work(20)
         service.work(6, WRONG)
         began = service.now
         while not service.serves():
-            service.board.observe_probe(service.now, SICK, healthy, 0.025)
+            service.detector.observe_probe(
+                service.now, UNHEALTHY, healthy, 0.025
+            )
             service.work(1)
         absences.append(service.now - began)
     assert absences[0] < absences[1] < 3 * absences[0]
 
 
-def test_target_comes_back_step_by_step():
-    service = Service()
+def test_target_returns_in_steps():
+    service = ServiceDriver()
     service.work(20)
     service.work(6, WRONG)
     shares = []
@@ -244,8 +246,8 @@
     assert steps == [0, 0.2, 0.3, 0.6, 1]
 
 
-def test_failing_trial_goes_straight_back_for_longer():
-    service = Service()
+def test_failed_trial_ejects_again_for_longer():
+    service = ServiceDriver()
     service.work(20)
     absences = []
     for _ in range(3):
@@ -258,17 +260,17 @@
     assert absences[2] > 1.5 * absences[1]
 
 
-def test_draining_target_leaves_at_once_though_the_floor_is_missed():
-    service = Service(ServicePolicy('search', floor=1))
+def test_draining_target_leaves_at_once_even_below_the_floor():
+    service = ServiceDriver(ServicePolicy('search', floor=1))
     leaving = replace(TARGETS[0], state=TargetState.DRAINING)
-    service.board.adopt_targets(service.now, (leaving, *TARGETS[1:]))
+    service.detector.adopt_targets(service.now, (leaving, *TARGETS[1:]))
     assert not service.serves()
     service.pass_time()
     assert service.codes == [EventCode.TARGET_DRAINED]
 
 
-def test_floor_holds_the_least_sick():
-    service = Service(ServicePolicy('search', floor=1))
+def test_floor_keeps_the_least_severe():
+    service = ServiceDriver(ServicePolicy('search', floor=1))
     service.work(20)
     service.work(6, WRONG)
     assert service.serves()
@@ -276,12 +278,12 @@
     assert service.codes.count(EventCode.TARGET_FLOOR_HELD) == 1
 
 
-def test_restarted_target_starts_slowly_and_unaccused():
-    service = Service(ServicePolicy('search', slow_start=5))
+def test_restarted_target_starts_slowly_without_old_evidence():
+    service = ServiceDriver(ServicePolicy('search', slow_start=5))
     service.work(20)
     service.work(6, WRONG)
     fresh = make_target(1, incarnation=2)
-    service.board.adopt_targets(service.now, (fresh, *TARGETS[1:]))
+    service.detector.adopt_targets(service.now, (fresh, *TARGETS[1:]))
     assert service.share(fresh.id) == TENTH
     service.pass_time(2.5)
     assert service.share(fresh.id) == HALF
@@ -289,72 +291,72 @@
     assert service.share(fresh.id) == 1
 
 
-def tell(
-    service: Service,
+def report(
+    service: ServiceDriver,
     node: str,
     domain: str,
     symptom: Symptom,
-    target: TargetId = SICK,
+    target: TargetId = UNHEALTHY,
 ) -> None:
     evidence = Evidence(target, symptom, 4, 4, 1)
-    service.board.adopt_evidence(service.now, node, domain, (evidence,))
+    service.detector.adopt_evidence(service.now, node, domain, (evidence,))
     for _ in range(3):
         service.pass_time()
 
 
-def test_two_nodes_that_see_wrong_answers_convince_a_third():
-    service = Service()
+def test_wrong_answers_at_two_nodes_eject_at_a_third():
+    service = ServiceDriver()
     service.work(20)
-    tell(service, 'one', 'a', Symptom.WRONG)
+    report(service, 'one', 'a', Symptom.WRONG)
     assert service.serves()
-    tell(service, 'two', 'a', Symptom.WRONG)
+    report(service, 'two', 'a', Symptom.WRONG)
     assert not service.serves()
 
 
-def test_nodes_that_cannot_reach_a_target_do_not_convince_one_that_can():
-    service = Service()
+def test_unreachable_at_others_does_not_eject_where_reachable():
+    service = ServiceDriver()
     service.work(20)
     for node, domain in (('one', 'a'), ('two', 'b'), ('three', 'c')):
-        tell(service, node, domain, Symptom.UNREACHABLE)
+        report(service, node, domain, Symptom.UNREACHABLE)
     assert service.serves()
 
 
-def test_unreachable_needs_two_failure_domains():
-    service = Service()
+def test_unreachable_must_be_confirmed_by_two_failure_domains():
+    service = ServiceDriver()
     far = (*TARGETS[:-1], make_target(6, domain='b'))
-    service.board.adopt_targets(service.now, far)
-    tell(service, 'one', 'b', Symptom.UNREACHABLE)
-    tell(service, 'two', 'b', Symptom.UNREACHABLE)
+    service.detector.adopt_targets(service.now, far)
+    report(service, 'one', 'b', Symptom.UNREACHABLE)
+    report(service, 'two', 'b', Symptom.UNREACHABLE)
     assert service.serves()
-    tell(service, 'three', 'c', Symptom.UNREACHABLE)
+    report(service, 'three', 'c', Symptom.UNREACHABLE)
     assert not service.serves()
 
 
 def test_evidence_on_another_incarnation_is_ignored():
-    service = Service()
+    service = ServiceDriver()
     earlier = make_target(1, incarnation=0).id
-    tell(service, 'one', 'a', Symptom.WRONG, earlier)
-    tell(service, 'two', 'b', Symptom.WRONG, earlier)
+    report(service, 'one', 'a', Symptom.WRONG, earlier)
+    report(service, 'two', 'b', Symptom.WRONG, earlier)
     assert service.serves()
 
 
-def test_own_evidence_is_told_and_hearsay_is_not():
-    service = Service()
+def test_only_own_evidence_is_sent():
+    service = ServiceDriver()
     service.work(20)
-    tell(service, 'one', 'a', Symptom.WRONG)
-    assert not service.board.evidence(service.now)
+    report(service, 'one', 'a', Symptom.WRONG)
+    assert not service.detector.evidence(service.now)
     service.work(2, WRONG)
-    told = service.board.evidence(service.now)
-    assert [piece.target for piece in told] == [SICK]
-    assert told[0].symptom is Symptom.WRONG
+    sent = service.detector.evidence(service.now)
+    assert [piece.target for piece in sent] == [UNHEALTHY]
+    assert sent[0].symptom is Symptom.WRONG
     service.pass_time(10)
-    assert not service.board.evidence(service.now)
+    assert not service.detector.evidence(service.now)
 
 
 def test_cost_of_late_detection_moves_the_threshold():
     counts = []
     for cost in (0.1, 1, 20):
-        service = Service(
+        service = ServiceDriver(
             ServicePolicy('search', late_detection_cost=cost),
         )
         service.work(20)
@@ -367,11 +369,11 @@
     assert counts[0] > counts[-1]
 
 
-def test_two_requests_that_hang_convict_though_no_more_are_sent():
-    service = Service()
+def test_two_hanging_requests_eject_without_further_ones():
+    service = ServiceDriver()
     service.work(20)
     for number in (-1, -2):
-        service.board.note_started(service.now, SICK, number)
+        service.detector.note_started(service.now, UNHEALTHY, number)
     for _ in range(8):
         for other in TARGETS[1:]:
             service.call(other.id)
@@ -380,8 +382,8 @@
     assert service.explain().symptom is Symptom.STALLED
 
 
-def test_slowness_is_found_soon_after_idleness():
-    service = Service()
+def test_slowness_is_detected_soon_after_an_idle_time():
+    service = ServiceDriver()
     service.work(20)
     for _ in range(40):
         service.pass_time(1)
@@ -391,19 +393,19 @@
 
 
 def test_targets_without_requests_are_no_peers_in_a_slowdown():
-    board = HealthBoard(PLAIN, HERE)
+    detector = HealthBoard(PLAIN, HERE)
     near = tuple(make_target(number) for number in range(1, 5))
     far = tuple(make_target(number, 'b') for number in range(5, 16))
-    board.adopt_targets(0, near + far)
+    detector.adopt_targets(0, near + far)
     taken_out = 0
     for number in range(1, 301):
         now = number / 10
         seconds = 0.03 if number < 200 else 0.15
         for place, target in enumerate(near):
             attempt = 4 * number + place
-            board.note_started(now, target.id, attempt)
-            board.note_head(now + seconds, target.id, attempt)
-            board.observe(now + seconds, target.id, attempt, FINE)
-        codes = [each.code for each in board.tick(now + TENTH)]
+            detector.note_started(now, target.id, attempt)
+            detector.note_head(now + seconds, target.id, attempt)
+            detector.observe(now + seconds, target.id, attempt, FINE)
+        codes = [each.code for each in detector.tick(now + TENTH)]
         taken_out += codes.count(EventCode.TARGET_EJECTED)
     assert not taken_out
--- a/hillfield/detection/tests/test_invariants.py
+++ b/hillfield/detection/tests/test_invariants.py
@@ -1,4 +1,4 @@
-"""Fuzz the board: the floor, draining and incarnations always hold."""
+"""Fuzz the detector: check the floor, draining and incarnations."""
 
 from os import environ
 
@@ -54,23 +54,23 @@
     )
 
 
-class BoardMachine(RuleBasedStateMachine):
-    """Do anything to a board, in any order."""
+class DetectorMachine(RuleBasedStateMachine):
+    """Apply any operations to a detector, in any order."""
 
     def __init__(self) -> None:
         super().__init__()
         self.policy = ServicePolicy('search', floor=0.6)
         locality = Locality('region', 'domain-0', 'here')
-        self.board = HealthBoard(self.policy, locality)
+        self.detector = HealthBoard(self.policy, locality)
         self.targets = [make_target(number, 1) for number in range(6)]
         self.now: float = 0
         self.attempt = 0
         self.open: list[tuple[TargetId, int]] = []
-        self.accused: set[TargetId] = set()
+        self.failing: set[TargetId] = set()
         self.announce()
 
     def announce(self) -> None:
-        self.board.adopt_targets(self.now, tuple(self.targets))
+        self.detector.adopt_targets(self.now, tuple(self.targets))
 
     @rule(number=NUMBERS, state=st.sampled_from(TargetState))
     def change_state(self, number: int, state: TargetState) -> None:
@@ -86,22 +86,22 @@
     @rule(floor=st.sampled_from([0, 0.3, 0.6, 1]))
     def change_floor(self, floor: float) -> None:
         self.policy = replace(self.policy, floor=floor)
-        self.board.adopt_policy(self.now, self.policy)
+        self.detector.adopt_policy(self.now, self.policy)
 
     @rule(number=NUMBERS, answered=st.booleans())
     def start_attempt(self, number: int, answered: bool) -> None:
         self.attempt += 1
         target = self.targets[number].id
-        self.board.note_started(self.now, target, self.attempt)
+        self.detector.note_started(self.now, target, self.attempt)
         if answered:
-            self.board.note_head(self.now, target, self.attempt)
+            self.detector.note_head(self.now, target, self.attempt)
         self.open.append((target, self.attempt))
 
     @rule(observation=OBSERVATIONS)
     def end_attempts(self, observation: Observation) -> None:
         for target, attempt in self.open:
-            self.board.observe(self.now, target, attempt, observation)
-            self.accused.add(target)
+            self.detector.observe(self.now, target, attempt, observation)
+            self.failing.add(target)
         self.open.clear()
 
     @rule(number=NUMBERS, observation=OBSERVATIONS)
@@ -116,7 +116,7 @@
         domain=st.sampled_from(DOMAINS),
         symptom=st.sampled_from(Symptom),
     )
-    def hear(
+    def receive(
         self,
         number: int,
         age: int,
@@ -125,25 +125,25 @@
     ) -> None:
         target = self.targets[number].id
         named = replace(target, incarnation=target.incarnation - age)
-        self.accused.add(named)
+        self.failing.add(named)
         evidence = (Evidence(named, symptom, 9, 9, 4),)
         for node in ('one', 'two'):
-            self.board.adopt_evidence(self.now, node, domain, evidence)
+            self.detector.adopt_evidence(self.now, node, domain, evidence)
 
     @rule(number=NUMBERS, healthy=st.booleans())
     def probe(self, number: int, healthy: bool) -> None:
         target = self.targets[number].id
-        self.board.observe_probe(self.now, target, healthy, 0.025)
+        self.detector.observe_probe(self.now, target, healthy, 0.025)
 
     @rule(seconds=st.sampled_from([0, 0.1, 0.1, 1, 12, 400]))
     def pass_time(self, seconds: float) -> None:
         self.now += seconds
-        self.board.tick(self.now)
-        self.board.evidence(self.now)
+        self.detector.tick(self.now)
+        self.detector.evidence(self.now)
 
     @invariant()
     def floor_is_kept(self) -> None:
-        rotation = self.board.rotation()
+        rotation = self.detector.rotation()
         announced = {
             target.id: target.slots
             for target in self.targets
@@ -160,16 +160,16 @@
         assert rotation.floor_held <= offered.keys()
 
     @invariant()
-    def only_the_accused_are_out(self) -> None:
-        for explanation in self.board.explain(self.now):
+    def only_targets_with_failures_are_out(self) -> None:
+        for explanation in self.detector.explain(self.now):
             if explanation.state in {'ejected', 'avoided', 'trial'}:
-                assert explanation.target in self.accused
+                assert explanation.target in self.failing
 
 
-BoardMachine.TestCase.settings = settings(
+DetectorMachine.TestCase.settings = settings(
     derandomize=True,
     deadline=None,
     max_examples=3000 if LONG else 60,
     stateful_step_count=60 if LONG else 40,
 )
-TestBoard = BoardMachine.TestCase
+TestDetector = DetectorMachine.TestCase
--- a/hillfield/detection/tests/test_measurement.py
+++ b/hillfield/detection/tests/test_measurement.py
@@ -1,4 +1,4 @@
-"""Tests of what the decisions achieve on modelled requests."""
+"""Test detection on modelled requests."""
 
 import pytest
 from msgspec.structs import replace
@@ -19,7 +19,7 @@
 def run(size, trouble, board=BoardKind.HEALTH, seconds=12):
     planned = plan_trials(size, trouble, board, 1, SEEDS)
     return summarise(
-        tuple(measure(replace(trial, seconds=seconds)) for trial in planned),
+        tuple(measure(replace(each, seconds=seconds)) for each in planned),
     )
 
 
@@ -28,7 +28,7 @@
     'trouble',
     [Trouble.SLOW_FIVEFOLD, Trouble.WRONG_ALWAYS, Trouble.STALL],
 )
-def test_sick_target_gets_no_work_after_two_seconds(size, trouble):
+def test_faulty_target_gets_no_work_after_two_seconds(size, trouble):
     summary = run(size, trouble)
     assert summary.p99 is not None
     assert summary.p99 <= 2
@@ -47,15 +47,15 @@
         Trouble.MIXED_ROUTES,
     ],
 )
-def test_trouble_that_is_no_targets_fault_ejects_nobody(trouble):
+def test_disturbance_without_a_faulty_target_ejects_none(trouble):
     assert run(KESTRELMOOR, trouble).false_ejections == 0
 
 
-def test_baseline_ejects_healthy_targets_when_probes_lie():
+def test_baseline_ejects_healthy_targets_when_probes_fail():
     summary = run(KESTRELMOOR, Trouble.FAILING_PROBES, BoardKind.BASELINE)
     assert summary.false_ejections > 0
 
 
-def test_seed_gives_the_same_figures():
-    trial = Trial(KESTRELMOOR, Trouble.SLOW_FIVEFOLD, 7, seconds=8)
-    assert measure(trial) == measure(trial)
+def test_equal_seeds_give_equal_measurements():
+    simulation = Trial(KESTRELMOOR, Trouble.SLOW_FIVEFOLD, 7, seconds=8)
+    assert measure(simulation) == measure(simulation)
--- a/hillfield/detection/tests/test_paths.py
+++ b/hillfield/detection/tests/test_paths.py
@@ -1,4 +1,4 @@
-"""The board that judges ways only."""
+"""Test the detector of failed paths."""
 
 from hillfield.detection.paths import PathBoard
 from hillfield.model import (
@@ -20,63 +20,65 @@
     return Target(identity, locality, 4, 300, state=state)
 
 
-def make_board(*targets):
-    board = PathBoard(ServicePolicy('s'), HERE)
-    board.adopt_targets(0, targets)
-    return board
+def make_detector(*targets):
+    detector = PathBoard(ServicePolicy('s'), HERE)
+    detector.adopt_targets(0, targets)
+    return detector
 
 
-def offered(board):
-    return [candidate.target for candidate in board.rotation().candidates]
+def offered(detector):
+    return [candidate.target for candidate in detector.rotation().candidates]
 
 
-def test_a_way_that_failed_is_left_alone_for_a_while():
+def test_failed_path_is_avoided_for_a_while():
     first, second = make_target(1), make_target(2)
-    board = make_board(first, second)
-    board.observe(1, first.id, 1, ConnectFailed('no route'))
-    assert offered(board) == [second]
-    board.tick(1.1)
-    assert offered(board) == [second]
-    board.tick(1.3)
-    assert offered(board) == [first, second]
+    detector = make_detector(first, second)
+    detector.observe(1, first.id, 1, ConnectFailed('no route'))
+    assert offered(detector) == [second]
+    detector.tick(1.1)
+    assert offered(detector) == [second]
+    detector.tick(1.3)
+    assert offered(detector) == [first, second]
 
 
 def test_each_further_failure_doubles_the_time():
     first, second = make_target(1), make_target(2)
-    board = make_board(first, second)
-    board.observe(1, first.id, 1, ConnectFailed('no route'))
-    board.tick(1.3)
-    board.observe(1.4, first.id, 2, TimedOut())
-    board.tick(1.8)
-    assert offered(board) == [second]
-    board.tick(2)
-    assert offered(board) == [first, second]
+    detector = make_detector(first, second)
+    detector.observe(1, first.id, 1, ConnectFailed('no route'))
+    detector.tick(1.3)
+    detector.observe(1.4, first.id, 2, TimedOut())
+    detector.tick(1.8)
+    assert offered(detector) == [second]
+    detector.tick(2)
+    assert offered(detector) == [first, second]
 
 
-def test_the_target_s_own_failures_say_nothing_of_the_way():
+def test_failures_of_the_target_do_not_count_for_the_path():
     first, second = make_target(1), make_target(2)
-    board = make_board(first, second)
-    board.observe(1, first.id, 1, Broken('reset'))
-    board.observe(1, first.id, 2, Answered(500, 'status 500'))
-    assert offered(board) == [first, second]
+    detector = make_detector(first, second)
+    detector.observe(1, first.id, 1, Broken('reset'))
+    detector.observe(1, first.id, 2, Answered(500, 'status 500'))
+    assert offered(detector) == [first, second]
 
 
-def test_the_last_way_is_never_given_up():
+def test_last_path_is_never_avoided():
     first = make_target(1)
-    board = make_board(first)
-    board.observe(1, first.id, 1, ConnectFailed('no route'))
-    assert offered(board) == [first]
+    detector = make_detector(first)
+    detector.observe(1, first.id, 1, ConnectFailed('no route'))
+    assert offered(detector) == [first]
 
 
-def test_a_draining_target_is_offered_no_work():
-    board = make_board(make_target(1, TargetState.DRAINING), make_target(2))
-    assert len(offered(board)) == 1
+def test_draining_target_is_offered_no_work():
+    detector = make_detector(
+        make_target(1, TargetState.DRAINING), make_target(2)
+    )
+    assert len(offered(detector)) == 1
 
 
-def test_one_event_tells_of_an_avoided_way():
+def test_avoided_path_is_reported_once():
     first, second = make_target(1), make_target(2)
-    board = make_board(first, second)
+    detector = make_detector(first, second)
     for number in range(3):
-        board.observe(1, first.id, number, ConnectFailed('no route'))
-    assert len(board.tick(1.1)) == 1
-    assert board.tick(1.2) == ()
+        detector.observe(1, first.id, number, ConnectFailed('no route'))
+    assert len(detector.tick(1.1)) == 1
+    assert detector.tick(1.2) == ()
--- a/hillfield/detection/tests/test_sharing.py
+++ b/hillfield/detection/tests/test_sharing.py
@@ -1,4 +1,4 @@
-"""Tests of what nodes tell each other and how they weigh it."""
+"""Test the exchange of evidence between nodes."""
 
 import pytest
 
@@ -22,33 +22,33 @@
     )
     for port in range(1, 7)
 )
-SICK = TARGETS[0].id
+UNHEALTHY = TARGETS[0].id
 
 
-def make_board() -> HealthBoard:
-    board = HealthBoard(ServicePolicy('search'), HERE)
-    board.adopt_targets(0, TARGETS)
-    return board
+def make_detector() -> HealthBoard:
+    detector = HealthBoard(ServicePolicy('search'), HERE)
+    detector.adopt_targets(0, TARGETS)
+    return detector
 
 
-def tell(
-    board: HealthBoard,
+def report(
+    detector: HealthBoard,
     now: float,
     failures: int,
     symptom: Symptom = Symptom.WRONG,
     requests: int | None = None,
 ) -> None:
-    asked = failures if requests is None else requests
+    total = failures if requests is None else requests
     for node in ('one', 'two'):
-        piece = Evidence(SICK, symptom, asked, failures, 1)
-        board.adopt_evidence(now, node, node, (piece,))
+        piece = Evidence(UNHEALTHY, symptom, total, failures, 1)
+        detector.adopt_evidence(now, node, node, (piece,))
 
 
-def find_state(board: HealthBoard, now: float) -> str:
+def get_state(detector: HealthBoard, now: float) -> str:
     return next(
         explanation.state
-        for explanation in board.explain(now)
-        if explanation.target == SICK
+        for explanation in detector.explain(now)
+        if explanation.target == UNHEALTHY
     )
 
 
@@ -61,65 +61,67 @@
         (Symptom.WRONG, 9, 3),
     ],
 )
-def test_senseless_evidence_is_ignored(symptom, failures, requests):
-    board = make_board()
-    tell(board, 0, failures, symptom, requests)
+def test_inconsistent_evidence_is_ignored(symptom, failures, requests):
+    detector = make_detector()
+    report(detector, 0, failures, symptom, requests)
     for tick in range(5):
-        board.tick(tick)
-    assert find_state(board, 5) == 'healthy'
+        detector.tick(tick)
+    assert get_state(detector, 5) == 'healthy'
 
 
-def test_node_that_the_floor_makes_use_a_target_does_not_bar_it_for_ever():
-    board = make_board()
+def test_evidence_of_a_node_at_its_floor_does_not_eject_for_ever():
+    detector = make_detector()
     for tick in range(900):
         now = tick / 10
         if now < 30:
-            tell(board, now, 5 + tick)
-        board.tick(now)
+            report(detector, now, 5 + tick)
+        detector.tick(now)
         if now < 25 and tick > 5:
-            assert find_state(board, now) == 'ejected'
-    assert find_state(board, now) == 'trial'
+            assert get_state(detector, now) == 'ejected'
+    assert get_state(detector, now) == 'trial'
 
 
-def test_stale_reports_are_forgotten():
-    board = make_board()
-    piece = Evidence(SICK, Symptom.WRONG, 9, 9, 1)
-    board.adopt_evidence(0, 'one', 'b', (piece,))
+def test_expired_reports_are_removed():
+    detector = make_detector()
+    piece = Evidence(UNHEALTHY, Symptom.WRONG, 9, 9, 1)
+    detector.adopt_evidence(0, 'one', 'b', (piece,))
     for tick in range(100):
-        board.tick(tick / 10)
-    board.adopt_evidence(10, 'two', 'c', (piece,))
-    board.tick(10.1)
-    board.tick(11)
-    assert find_state(board, 11) != 'ejected'
+        detector.tick(tick / 10)
+    detector.adopt_evidence(10, 'two', 'c', (piece,))
+    detector.tick(10.1)
+    detector.tick(11)
+    assert get_state(detector, 11) != 'ejected'
 
 
 def test_number_of_reports_is_bounded():
     reports = EvidenceReports()
-    piece = Evidence(SICK, Symptom.WRONG, 9, 9, 1)
+    piece = Evidence(UNHEALTHY, Symptom.WRONG, 9, 9, 1)
     for number in range(2 * MAX_NODES):
         node = str(number)
         reports.replace_report(node, (ReceivedEvidence(node, 'a', 0, piece),))
-    assert len(reports.for_target(SICK)) == MAX_NODES
+    assert len(reports.for_target(UNHEALTHY)) == MAX_NODES
     reports.expire(1)
-    assert not reports.for_target(SICK)
+    assert not reports.for_target(UNHEALTHY)
 
 
-def test_loss_of_a_failure_domain_takes_all_its_targets_out():
-    board = make_board()
+def test_loss_of_a_failure_domain_ejects_all_its_targets():
+    detector = make_detector()
     lost = {target.id for target in TARGETS[:2]}
     attempt = 0
     for tick in range(40):
-        for offered in board.rotation().candidates:
+        for candidate in detector.rotation().candidates:
             attempt += 1
-            target = offered.target.id
+            target = candidate.target.id
             wrong = 'down' if target in lost and tick > 20 else ''
-            board.note_started(tick / 10, target, attempt)
-            board.observe(
+            detector.note_started(tick / 10, target, attempt)
+            detector.observe(
                 tick / 10 + 0.03,
                 target,
                 attempt,
                 Answered(200, wrong=wrong),
             )
-        board.tick(tick / 10 + 0.05)
-    served = {candidate.target.id for candidate in board.rotation().candidates}
-    assert served == {target.id for target in TARGETS} - lost
+        detector.tick(tick / 10 + 0.05)
+    in_rotation = {
+        offered.target.id for offered in detector.rotation().candidates
+    }
+    assert in_rotation == {target.id for target in TARGETS} - lost
--- a/hillfield/detection/trouble.py
+++ b/hillfield/detection/trouble.py
@@ -38,7 +38,7 @@
 
 
 class Trouble(StrEnum):
-    """Name a disturbance; from `ONE_WAY` on none is a fault of a target."""
+    """Name a disturbance; from `ONE_WAY` on no target is at fault."""
 
     SLOW_FIVEFOLD = 'slow5'
     SLOW_TWOFOLD = 'slow2'
--- a/hillfield/model/addresses.py
+++ b/hillfield/model/addresses.py
@@ -56,7 +56,7 @@
 def _parse_port(text: str) -> Result[int, str]:
     if not text.isascii() or not text.isdigit():
         return Error(f'{text!r} is not a port; write 0 to 65535')
-    # Not by its number only: Python reads no number of thousands of digits.
+    # The length goes first: int() refuses numbers of thousands of digits.
     if len(text) > PORT_DIGITS or int(text) > MAXIMUM_PORT:
         shown = text[: PORT_DIGITS + 1]
         return Error(f'port {shown} is too large; write 0 to 65535')
--- a/hillfield/model/notices.py
+++ b/hillfield/model/notices.py
@@ -1,4 +1,4 @@
-"""What a target says of itself in its answers."""
+"""Notices: what targets report of themselves in their answers."""
 
 from typing import Final
 
@@ -6,12 +6,13 @@
 
 
 class TargetNotice(Struct, frozen=True):
-    """Hold what one answer says of the target that gave it.
+    """Hold the notices of one answer about the target that gave it.
 
-    `rate` is how many requests a second the target takes from all nodes
-    together (None: it names no limit, or none that can be read), `leaving`
-    that it takes no new work any more, `unread` what it says and nobody can
-    read (empty: nothing of the kind), `vague` that its limit is part of that.
+    `rate` is how many requests per second the target accepts from all nodes
+    together (None: no limit is given, or none that can be parsed), `leaving`
+    that it accepts no new work any more, `unreadable` the notices that could
+    not be parsed (empty: none), `limit_unreadable` that its rate limit is
+    among them.
     """
 
     rate: float | None = None
@@ -21,10 +22,10 @@
 
 
 class LifeNotice(Struct, frozen=True, array_like=True):
-    """Hold what nodes tell each other of what a life of a target says.
+    """Hold the notices of one incarnation of a target, sent between nodes.
 
-    `life` names it as the target does, whichever node stands before it, `rate`
-    and `leaving` are those of its answers.
+    `incarnation` is the name that the target itself gives it, the same at
+    any node in front of it; `rate` and `leaving` are those of its answers.
     """
 
     life: str
--- a/hillfield/model/outcomes.py
+++ b/hillfield/model/outcomes.py
@@ -1,4 +1,4 @@
-"""What a caller may be told of its request."""
+"""Outcomes and failures of requests, as reported to their callers."""
 
 from enum import StrEnum
 
@@ -6,10 +6,10 @@
 
 
 class Outcome(StrEnum):
-    """Tell whether a request ran.
+    """Name what is known of whether a request ran.
 
-    `NOT_RUN` is said only when it is certain: no byte of the request was
-    written to any target, or each target that saw it refused it by the
+    `NOT_RUN` is reported only when it is certain: no byte of the request was
+    written to any target, or each target that received it refused it by the
     documented shed answer.
     """
 
@@ -32,12 +32,12 @@
 
 
 class RequestFailure(Struct, frozen=True):
-    """Carry a failed request's outcome to its caller.
+    """Report the outcome of a failed request to its caller.
 
     `status` is the HTTP status of the answer, `peer` the other end at which
-    the error arose (empty when none), `event` the number of the catalogue
-    event that records it, `retry_after` seconds after which to come back
-    (None when a repeat would not help or isn't known to be safe).
+    the error arose (empty: none), `event` the number of the catalogue event
+    that records it, `retry_after` the seconds after which to retry (None: a
+    retry would not help or is not known to be safe).
     """
 
     status: int
--- a/hillfield/model/plans.py
+++ b/hillfield/model/plans.py
@@ -1,4 +1,4 @@
-"""Treatment of one request, resolved from a template and an account."""
+"""The plan for one request, resolved from a template and an account."""
 
 from enum import IntEnum
 
@@ -6,10 +6,11 @@
 
 
 class Urgency(IntEnum):
-    """Say which targets a request takes, by how many have declined it.
+    """Say which targets a request accepts after others have declined it.
 
-    `CHOOSY` takes one that nothing speaks against, `SETTLES` a suspected one,
-    `INSISTS` a held back one whose odds are fair, `PRESSES` any.
+    `HEALTHY_ONLY` accepts targets without evidence against them,
+    `ALLOW_SUSPECTED` also suspected ones, `ALLOW_QUARANTINED` also
+    quarantined ones that are fairly likely to answer, `ALLOW_ANY` all.
     """
 
     CHOOSY = 0
@@ -23,8 +24,9 @@
 
     An answer is wrong when its status is in `wrong_statuses`, when it lacks
     `required_header`, when its body is shorter than `minimum_length` bytes,
-    or when its body doesn't start with `required_prefix`. One that can't be
-    repeated is replaced by a failure, or passed on where `relays_wrong`.
+    or when its body doesn't start with `required_prefix`. Where the request
+    can't be retried, a wrong answer is replaced by a failure, or passed on
+    if `relays_wrong`.
     """
 
     wrong_statuses: tuple[int, ...] = (500, 502, 503, 504)
@@ -37,13 +39,12 @@
 class RequestPlan(Struct, frozen=True):
     """Say how one request is to be treated; times are in seconds.
 
-    `priority` ranks requests that wait (0 goes first), `origin` is the
-    service on whose host the request began (empty: not known), `trial`
-    `urgency` and `spent` (seconds since it was first sent) what the node
-    where it began says of this attempt,
-    `aim` the time in which an answer is worth most (0: not known),
-    `route_version` the version of the configuration that brought the route
-    (None: not known here),
+    `priority` ranks waiting requests (0 goes first), `origin` is the service
+    on whose host the request began (empty: unknown). `trial`, `urgency` and
+    `spent` (the seconds since the request was first sent) are set by the node
+    where it began, for this attempt. `aim` is the time within which an answer
+    is worth most (0: unknown), `route_version` the version of the
+    configuration that introduced the route (None: unknown here),
     `route_since` when this node first held it, by the monotonic clock (None:
     since its first configuration).
     """
@@ -76,11 +77,11 @@
     `queue_limit` how many requests may wait at one node, `slow_start`
     the seconds over which a cold target gets up to its full share,
     `retry_burst` and `shed_burst` how many retries of each kind one node may
-    have saved up, `shed_cost` what a retry after the shed answer costs,
+    save up, `shed_cost` what a retry after the shed answer costs,
     `retry_saving` the seconds of answered requests whose retries may be saved
-    up where that is more, `patience` the seconds that requests wait for a
-    first target. Without a `hedge_budget` hedges draw on that of the retries,
-    to which `retry_rate` adds so many a second.
+    up where that is more than `retry_burst`, `patience` the seconds that
+    requests wait for a first target. Without a `hedge_budget` hedges draw on
+    the retry budget, to which `retry_rate` adds so many retries per second.
     """
 
     service: str
--- a/hillfield/model/structs.py
+++ b/hillfield/model/structs.py
@@ -1,4 +1,4 @@
-"""What can be told of a type."""
+"""Helpers for msgspec structs."""
 
 from typing import Final, TypeGuard
 
@@ -10,7 +10,7 @@
 
 
 def is_struct(kind: object) -> TypeGuard[type[Struct]]:
-    """Tell whether a type is a data class of msgspec.
+    """Return whether a type is a msgspec struct.
 
     >>> class Pair(Struct):
     ...     left: int
@@ -21,7 +21,7 @@
 
 
 def encode_row(row: Struct) -> bytes:
-    """Return a data class as a JSON array, less a last field that is None.
+    """Return a struct as a JSON array, without a last field that is None.
 
     >>> class Pair(Struct, array_like=True):
     ...     left: int
@@ -29,7 +29,7 @@
     >>> encode_row(Pair(1)), encode_row(Pair(1, 2))
     (b'[1]', b'[1,2]')
     """
-    coded = _ENCODER.encode(row)
-    if coded.endswith(_NULL_LAST_FIELD):
-        return b'%b]' % coded.removesuffix(_NULL_LAST_FIELD)
-    return coded
+    encoded = _ENCODER.encode(row)
+    if encoded.endswith(_NULL_LAST_FIELD):
+        return b'%b]' % encoded.removesuffix(_NULL_LAST_FIELD)
+    return encoded
--- a/hillfield/model/targets.py
+++ b/hillfield/model/targets.py
@@ -8,7 +8,7 @@
 
 
 class TargetState(StrEnum):
-    """Name what a target says of itself."""
+    """Name the state that a target announces."""
 
     COLD = 'cold'
     READY = 'ready'
@@ -25,7 +25,7 @@
 
 
 class TargetId(Struct, frozen=True, order=True):
-    """Identify one life of one target; a restart changes `incarnation`."""
+    """Identify one incarnation of a target; a restart gives another."""
 
     service: str
     address: Address
@@ -45,7 +45,7 @@
 
     `slots` is how many requests it runs at once, `connection_limit` how many
     connections the whole fleet may open to it, `load` its own report of busy
-    slots per slot (a hint that lags or misleads; None when not reported).
+    slots per slot (a hint that may lag or mislead; None: not reported).
     """
 
     id: TargetId
--- a/hillfield/model/tests/test_addresses.py
+++ b/hillfield/model/tests/test_addresses.py
@@ -8,13 +8,13 @@
 
 @given(st.ip_addresses(), st.integers(0, 65535))
 def test_text_form_parses_back(number, port):
-    """Each address survives its text form."""
+    """An address that is formatted and parsed stays the same."""
     address = Address(str(number), port)
     assert parse_address(str(address)).ok == address
 
 
 def test_name_is_refused():
-    """A name is not an IP number."""
+    """Host names are not accepted as IP numbers."""
     assert parse_address('localhost:80').is_error()
 
 
--- a/hillfield/timers/__init__.py
+++ b/hillfield/timers/__init__.py
@@ -1,4 +1,4 @@
-"""One timer for all that a process does at times."""
+"""A shared timer for the periodic and delayed work of an event loop."""
 
 from hillfield.timers.pendingreads import run_when_read, wait_until_read
 from hillfield.timers.shared import STEP, Appointment, SharedTimer, find_timer
--- a/hillfield/timers/shared.py
+++ b/hillfield/timers/shared.py
@@ -1,7 +1,8 @@
-"""One timer of a loop that runs all that is due, in steps of a tenth second.
+"""A timer shared by the work of a loop, in steps of a tenth of a second.
 
-On a small host a wake-up costs 80 to 100 microseconds of processor before
-anything is done in it. What may be late by a step waits for the others that are due then.
+On a small host a wake-up costs 80 to 100 microseconds of processor time before
+any work is done in it. Work that may be late by a step therefore runs together
+with the rest that is due at that step.
 """
 
 from asyncio import (
@@ -17,9 +18,9 @@
 from typing import Final
 from weakref import ReferenceType, WeakValueDictionary, ref
 
-# Seconds between two steps: the shortest pause of what ticks.
+# Seconds between two steps, the shortest period of periodic work.
 STEP: Final = 0.1
-# Part of a step by which a due time may lie behind it.
+# Part of a step by which a due time may be past it, for rounding errors.
 STEP_TOLERANCE: Final = 0.01
 
 Work = Callable[[], None]
@@ -31,104 +32,108 @@
     __slots__ = ('_work', 'period')
 
     def __init__(self, work: Work, period: int = 0) -> None:
-        """Take the work."""
+        """Hold work that has not been cancelled."""
         self._work: Work | None = work
         self.period = period
 
     @property
     def is_active(self) -> bool:
-        """Tell whether it has not been cancelled."""
+        """Return whether the work has not been cancelled."""
         return self._work is not None
 
     def cancel(self) -> None:
-        """Do it no more."""
+        """Cancel the work."""
         self._work = None
 
     def run(self) -> None:
-        """Do it now, unless it was cancelled."""
+        """Run the work now, unless it was cancelled."""
         if self._work is not None:
             self._work()
 
 
 class SharedTimer:
-    """Keep the appointments of one loop; errors go to its handler."""
+    """Run the scheduled work of one loop; errors go to its handler."""
 
     def __init__(self, loop: AbstractEventLoop) -> None:
         """Count steps from now."""
         self._loop_reference = ref(loop)
-        self._origin = loop.time()
+        self._started = loop.time()
         self._queue: list[tuple[int, int, Appointment]] = []
-        self._count = 0
-        # Weak: the loop holds the handle, and the handle this timer, so that
-        # both go with the loop.
-        self._armed: ReferenceType[TimerHandle] | None = None
-        self._next = 0
+        self._sequence = 0
+        # Weak: the loop holds the handle, which holds this timer, so that both
+        # are freed with the loop.
+        self._timer_handle: ReferenceType[TimerHandle] | None = None
+        self._next_step = 0
 
     def belongs_to(self, loop: AbstractEventLoop) -> bool:
-        """Tell whether it keeps the appointments of this loop."""
+        """Return whether this is the timer of that loop."""
         return self._loop_reference() is loop
 
     def every(self, seconds: float, work: Work) -> Appointment:
-        """Do work again and again, first after that time."""
+        """Run work periodically, first after one period."""
         period = max(1, round(seconds / STEP))
-        return self._add(self._now() + period, Appointment(work, period))
+        return self._add(
+            self._count_steps() + period, Appointment(work, period)
+        )
 
     def after(self, seconds: float, work: Work) -> Appointment:
-        """Do work once, at the first step that is no sooner."""
-        passed = get_running_loop().time() - self._origin
+        """Run work once, at the first step that is not earlier."""
+        passed = get_running_loop().time() - self._started
         due = (passed + seconds) / STEP
         return self._add(ceil(due - STEP_TOLERANCE), Appointment(work))
 
     async def pause(self, seconds: float) -> None:
-        """Return at the first step that is no sooner."""
+        """Return at the first step that is not earlier."""
         ended = get_running_loop().create_future()
         self.after(seconds, partial(_resolve, ended))
         await ended
 
-    def _now(self) -> int:
-        passed = get_running_loop().time() - self._origin
+    def _count_steps(self) -> int:
+        passed = get_running_loop().time() - self._started
         return floor(passed / STEP + STEP_TOLERANCE)
 
-    def _add(self, step: int, appointment: Appointment) -> Appointment:
-        self._count += 1
-        heappush(self._queue, (step, self._count, appointment))
-        if self._armed is None or step < self._next:
-            self._arm()
-        return appointment
-
-    def _arm(self) -> None:
-        armed = None if self._armed is None else self._armed()
-        if armed is not None:
-            armed.cancel()
-        self._next = self._queue[0][0]
-        due = self._origin + self._next * STEP
-        self._armed = ref(get_running_loop().call_at(due, self._run_due))
+    def _add(self, step: int, scheduled: Appointment) -> Appointment:
+        self._sequence += 1
+        heappush(self._queue, (step, self._sequence, scheduled))
+        if self._timer_handle is None or step < self._next_step:
+            self._set_timer()
+        return scheduled
+
+    def _set_timer(self) -> None:
+        timer_handle = (
+            None if self._timer_handle is None else self._timer_handle()
+        )
+        if timer_handle is not None:
+            timer_handle.cancel()
+        self._next_step = self._queue[0][0]
+        due = self._started + self._next_step * STEP
+        self._timer_handle = ref(get_running_loop().call_at(due, self._run_due))
 
     def _run_due(self) -> None:
-        self._armed = None
-        now = self._now()
+        self._timer_handle = None
+        now = self._count_steps()
         due: list[Appointment] = []
         while self._queue and self._queue[0][0] <= now:
             due.append(heappop(self._queue)[-1])
-        for appointment in due:
-            if appointment.is_active:
-                self._run_call(appointment)
-            if appointment.is_active and appointment.period:
-                self._add(now + appointment.period, appointment)
-        if self._queue and self._armed is None:
-            self._arm()
-
-    def _run_call(self, appointment: Appointment) -> None:
+        for scheduled in due:
+            if scheduled.is_active:
+                self._run_call(scheduled)
+            if scheduled.is_active and scheduled.period:
+                self._add(now + scheduled.period, scheduled)
+        if self._queue and self._timer_handle is None:
+            self._set_timer()
+
+    def _run_call(self, scheduled: Appointment) -> None:
         try:
-            appointment.run()
+            scheduled.run()
         except Exception as error:
             get_running_loop().call_exception_handler(
                 {'message': 'shared timer: work failed', 'exception': error},
             )
 
 
-# By the loop's identity: a timer lives as long as its appointments, and no
-# loop that has ended is kept.
+# Keyed by the loop's identity. A timer lives as long as its scheduled work, so
+# that no closed loop is kept alive.
 _TIMERS: Final[WeakValueDictionary[int, SharedTimer]] = WeakValueDictionary()
 
 
--- a/hillfield/timers/tests/test_shared.py
+++ b/hillfield/timers/tests/test_shared.py
@@ -1,4 +1,4 @@
-"""One timer for all that is done at times."""
+"""Test the timer that the work of a loop shares."""
 
 import asyncio
 import gc
@@ -12,7 +12,7 @@
 
 
 class CountingLoop(asyncio.SelectorEventLoop):
-    """Count the timers that were set."""
+    """Count the timers that are set."""
 
     def __init__(self):
         super().__init__()
@@ -23,8 +23,8 @@
         return super().call_at(*parts, **more)
 
 
-class Kept:
-    """Be held by work that is never done."""
+class WorkOwner:
+    """Own work that never runs."""
 
     def work(self):
         """Do nothing."""
@@ -34,94 +34,94 @@
     """Do nothing."""
 
 
-def run(story):
+def run(scenario):
     """Run a coroutine; return the loop that it ran in."""
     with asyncio.Runner(loop_factory=CountingLoop) as runner:
-        runner.run(story())
+        runner.run(scenario())
         return runner.get_loop()
 
 
-def test_work_is_done_again_until_cancelled():
-    done = []
+def test_periodic_work_runs_until_cancelled():
+    runs = []
 
-    async def story():
+    async def scenario():
         timer = find_timer()
-        ticking = timer.every(STEP, lambda: done.append(1))
+        periodic = timer.every(STEP, lambda: runs.append(1))
         await timer.pause(3.5 * STEP)
-        ticking.cancel()
+        periodic.cancel()
         await asyncio.sleep(2 * STEP)
 
-    run(story)
-    assert 3 <= len(done) <= 4
+    run(scenario)
+    assert 3 <= len(runs) <= 4
 
 
-def test_what_is_due_in_one_step_takes_one_timer():
-    async def story():
+def test_work_due_in_one_step_takes_one_timer():
+    async def scenario():
         timer = find_timer()
         for _ in range(50):
             timer.after(0.7 * STEP, do_nothing)
             timer.every(STEP, do_nothing)
         await timer.pause(2.5 * STEP)
 
-    assert run(story).timers <= 6
+    assert run(scenario).timers <= 6
 
 
-def test_work_done_once_is_never_early():
-    moments = []
+def test_delayed_work_is_never_early():
+    durations = []
 
-    async def story():
+    async def scenario():
         loop = asyncio.get_running_loop()
-        begun = loop.time()
+        started = loop.time()
         timer = find_timer()
-        timer.after(0.13, lambda: moments.append(loop.time() - begun))
+        timer.after(0.13, lambda: durations.append(loop.time() - started))
         await timer.pause(0.4)
 
-    run(story)
-    assert moments[0] == approx(0.23, abs=0.1)
+    run(scenario)
+    assert durations[0] == approx(0.23, abs=0.1)
 
 
-def test_an_error_does_not_end_the_others():
-    done = []
-    heard = []
+def test_error_does_not_stop_other_work():
+    runs = []
+    errors = []
 
-    async def story():
+    async def scenario():
         loop = asyncio.get_running_loop()
-        loop.set_exception_handler(lambda _, told: heard.append(told))
+        loop.set_exception_handler(lambda _, context: errors.append(context))
         timer = find_timer()
-        timer.every(STEP, lambda: done.append(1 / len(heard)))
+        timer.every(STEP, lambda: runs.append(1 / len(errors)))
         await timer.pause(2.5 * STEP)
 
-    run(story)
-    assert heard
-    assert done
+    run(scenario)
+    assert errors
+    assert runs
 
 
-def test_a_pause_can_be_cancelled():
-    async def story():
-        paused = asyncio.create_task(find_timer().pause(60))
+def test_sleep_can_be_cancelled():
+    async def scenario():
+        sleeping = asyncio.create_task(find_timer().pause(60))
         await asyncio.sleep(0)
-        paused.cancel()
-        await asyncio.gather(paused, return_exceptions=True)
-        assert paused.cancelled()
+        sleeping.cancel()
+        await asyncio.gather(sleeping, return_exceptions=True)
+        assert sleeping.cancelled()
 
-    run(story)
+    run(scenario)
 
 
 def leave_pending():
-    """Run a loop to its end; return what its pending work holds, weakly."""
-    kept = Kept()
+    """Run a loop to its end; return a weak reference from its work."""
+    owner = WorkOwner()
 
-    async def story():
-        find_timer().after(60, kept.work)
+    async def scenario():
+        find_timer().after(60, owner.work)
         await asyncio.sleep(0)
 
-    asyncio.run(story())
-    return ref(kept)
+    asyncio.run(scenario())
+    return ref(owner)
 
 
-def test_a_loop_that_has_ended_is_not_kept():
-    """Also where no collector looks: nodes freeze what they begin with."""
+def test_closed_loop_is_not_kept_alive():
+    """Holds without the garbage collector: nodes freeze their first objects."""
     gc.disable()
-    left = leave_pending()
+    owner = leave_pending()
     gc.enable()
-    assert left() is None
+    assert owner() is None
