--- a/hillfield/charts/tests/test_charts.py
+++ b/hillfield/charts/tests/test_charts.py
@@ -45,7 +45,7 @@
 
 
 @pytest.mark.parametrize(
-    ('text', 'error'),
+    ('text', 'problem'),
     [
         ('states = [', 'not TOML'),
         ('[states.closed]', 'no initial state'),
@@ -53,11 +53,11 @@
         (f'{DOOR}\n[states.lost]', 'unreachable states: lost'),
     ],
 )
-def test_invalid_charts_are_refused(text, error, tmp_path):
-    assert error in parse_chart(text).error
+def test_invalid_charts_are_refused(text, problem, tmp_path):
+    assert problem in parse_chart(text).error
     chart_file = tmp_path / 'door.toml'
     chart_file.write_text(text)
-    with pytest.raises(ChartError, match=f'door.toml: {error}'):
+    with pytest.raises(ChartError, match=f'door.toml: {problem}'):
         read_chart(chart_file)
 
 
--- a/hillfield/clocks/tests/test_clocks.py
+++ b/hillfield/clocks/tests/test_clocks.py
@@ -91,10 +91,10 @@
 
 
 def run_scenario(folder, scenario):
-    async def run():
+    async def send_requests():
         async with open_installation(
             folder, ('refunds', 'refunds')
         ) as installation:
             await scenario(installation)
 
-    asyncio.run(run())
+    asyncio.run(send_requests())
--- a/hillfield/detection/board.py
+++ b/hillfield/detection/board.py
@@ -31,7 +31,7 @@
 
 
 class HealthBoard(AttemptTracker):
-    """Compare the real requests of each target with those of its peers.
+    """Detect unhealthy targets by comparing their requests with their peers'.
 
     Pure: all times are seconds of one monotonic clock that the caller reads.
     """
--- a/hillfield/detection/descriptions.py
+++ b/hillfield/detection/descriptions.py
@@ -13,7 +13,7 @@
         Symptom.WRONG: 'were answered wrongly',
         Symptom.BROKEN: 'were cut off',
         Symptom.STALLED: 'hung without an answer',
-        Symptom.UNREACHABLE: 'found no connection',
+        Symptom.UNREACHABLE: 'could not connect',
     },
 )
 
@@ -27,9 +27,12 @@
     """Describe the counts behind a decision.
 
     >>> describe(Symptom.WRONG, 4, 3, 2)
-    '3 of 4 requests were answered wrongly, as 2 nodes saw it'
+    '3 of 4 requests were answered wrongly, as seen by 2 nodes'
     """
     observers = 'this node' if nodes < 2 else f'{nodes} nodes'
     total = max(1, round(requests))
     failed = max(1, round(failures))
-    return f'{failed} of {total} requests {PHRASES[symptom]}, as {observers} saw it'
+    return (
+        f'{failed} of {total} requests {PHRASES[symptom]},'
+        f' as seen by {observers}'
+    )
--- a/hillfield/detection/evaluation.py
+++ b/hillfield/detection/evaluation.py
@@ -25,8 +25,9 @@
 TRIAL_THRESHOLD_FACTOR: Final = 1 / 3
 SUSPICION_FACTOR: Final = 0.5
 CLEARING_FACTOR: Final = 0.25
-# Seconds.
+# Seconds after which weights are recomputed before a target is taken out.
 MAX_WEIGHTS_AGE: Final = 0.05
+# Consecutive failed probes that lower the threshold.
 MIN_FAILED_PROBES: Final = 2
 
 
@@ -100,9 +101,9 @@
     now: float,
 ) -> None:
     _record_reason(service, record, counts)
-    on_path = counts.path_failures >= counts.failures / 2
-    local = on_path and not counts.confirmed
-    trigger = HealthTrigger.AVOID if local else HealthTrigger.EJECT
+    is_path_fault = counts.path_failures >= counts.failures / 2
+    is_local = is_path_fault and not counts.confirmed
+    trigger = HealthTrigger.AVOID if is_local else HealthTrigger.EJECT
     remove_from_rotation(service, record, trigger, now)
 
 
--- a/hillfield/detection/observations.py
+++ b/hillfield/detection/observations.py
@@ -22,7 +22,9 @@
     TimedOut,
 )
 
+# Seconds of a lower share after a shed answer.
 SHED_SECONDS: Final = 1
+# Consecutive successes that end an ejection early.
 FLOOR_HELD_SUCCESSES: Final = 10
 
 
@@ -79,7 +81,7 @@
     now: float,
 ) -> None:
     _count_reached(service, record, now)
-    # The target limits its own load: less work for a moment, no failure.
+    # The target limits its own load, which is no failure.
     record.shed_until = now + SHED_SECONDS
     service.unsettled_targets.add(record.target.id)
     service.rotation_outdated = True
--- a/hillfield/detection/pools.py
+++ b/hillfield/detection/pools.py
@@ -13,7 +13,7 @@
 
 # Failures from which this node is one of those that confirm a fault.
 MIN_OWN_FAILURES: Final = 0.5
-# Successes of this node that are weighed against others' failures at most.
+# Most successes of this node that are pooled with others' failures.
 MAX_OWN_SUCCESSES: Final = 5.0
 # Seconds since the last success.
 MAX_SUCCESS_AGE: Final = 1.0
--- a/hillfield/detection/records.py
+++ b/hillfield/detection/records.py
@@ -81,7 +81,7 @@
 
 
 def compute_share(record: TargetRecord, now: float) -> float:
-    """Return the share of a full target's work that this one gets."""
+    """Return the share of a healthy target's work that this one gets."""
     match record.health:
         case Health.EJECTED | Health.AVOIDED | Health.DRAINING:
             return 0
@@ -91,8 +91,8 @@
             share = record.warmup_share
         case _:
             share = FULL_SHARE
-    shedding = record.target.state is TargetState.SHEDDING
-    if shedding or record.shed_until > now:
+    is_shedding = record.target.state is TargetState.SHEDDING
+    if is_shedding or record.shed_until > now:
         return share * SHEDDING_SHARE
     return share
 
@@ -116,8 +116,8 @@
     little to eject or clear it. A target with another symptom needs no such
     rule: the few requests that it fails are enough evidence.
     """
-    late = record.symptom in LATE_SYMPTOMS
-    return late and record.health is Health.SUSPECTED
+    is_late = record.symptom in LATE_SYMPTOMS
+    return is_late and record.health is Health.SUSPECTED
 
 
 def _select_severity(record: TargetRecord) -> float:
--- a/hillfield/detection/service.py
+++ b/hillfield/detection/service.py
@@ -32,6 +32,7 @@
 BASE_WEIGHTS: Final = tuple(
     compute_weights(hypotheses, 0) for hypotheses in HYPOTHESES
 )
+# Distances of targets, and the index of the reference over all of them.
 DISTANCES: Final = 3
 LATENCY_INDICATORS: Final = frozenset(
     (Indicator.SLOW, Indicator.VERY_SLOW, Indicator.HUNG),
--- a/hillfield/detection/sharing.py
+++ b/hillfield/detection/sharing.py
@@ -61,7 +61,7 @@
         for scored in _score_target(record, now)
     ]
     scored.sort(key=_order_by_score)
-    return tuple(entry.evidence for entry in scored[:MAX_PIECES_SENT])
+    return tuple(each.evidence for each in scored[:MAX_PIECES_SENT])
 
 
 def receive_evidence(
@@ -135,8 +135,8 @@
     service: ServiceState, record: TargetRecord, now: float
 ) -> None:
     # Another node's trial has failed, so this node need not try as well.
-    # A node whose floor keeps the target in use sends evidence all the time,
-    # so that it counts only when this node's own trial is near.
+    # A node whose floor keeps the target in use sends evidence all the time;
+    # evidence counts only when this node's own trial is near.
     remaining = record.out_until - now
     if remaining > compute_absence(service, record) / 2:
         return
--- a/hillfield/detection/trouble.py
+++ b/hillfield/detection/trouble.py
@@ -86,14 +86,14 @@
         self,
         target: Target,
         median: float,
-        trouble: Trouble,
+        disturbance: Trouble,
         random: Random,
     ) -> None:
         """Start idle; `median` is the usual seconds to answer."""
         self.target = target
         self.started: float = -COLD_SECONDS
         self._median = median
-        self._trouble = trouble
+        self._disturbance = disturbance
         self._random = random
         self._free = list[float](0 for _ in range(target.slots))
 
@@ -102,7 +102,7 @@
         if is_cut and now >= ONSET:
             end = now + CONNECT_SECONDS
             return Call(None, end, ConnectFailed('no route'))
-        if self._trouble is Trouble.STALL and now >= ONSET:
+        if self._disturbance is Trouble.STALL and now >= ONSET:
             return Call(None, now + REQUEST_SECONDS, TimedOut())
         seconds = self._random.lognormvariate(log(self._median), LATENCY_SIGMA)
         begun = max(now, self._free[0])
@@ -115,7 +115,7 @@
 
     def _compute_latency_factor(self, now: float) -> float:
         factor = 1
-        match self._trouble:
+        match self._disturbance:
             case Trouble.SLOW_FIVEFOLD | Trouble.LYING_PROBES:
                 factor = FIVE_TIMES
             case Trouble.SLOW_TWOFOLD:
@@ -133,7 +133,7 @@
     def _draw_answer(self, now: float) -> Observation:
         rate = BACKGROUND_ERRORS
         if now >= ONSET:
-            match self._trouble:
+            match self._disturbance:
                 case Trouble.WRONG_ALWAYS:
                     rate = 1
                 case Trouble.WRONG_SOMETIMES | Trouble.SOME_ERRORS:
@@ -144,8 +144,8 @@
         return WRONG_ANSWER if self._random.random() < rate else RIGHT_ANSWER
 
 
-def compute_rate_factor(trouble: Trouble, now: float) -> float:
+def compute_rate_factor(disturbance: Trouble, now: float) -> float:
     """Return the rate of arrivals as a multiple of the usual one."""
-    if trouble is Trouble.BURSTS and now >= ONSET:
+    if disturbance is Trouble.BURSTS and now >= ONSET:
         return BURST_FACTOR if now % BURST_PERIOD < 1 else 1
     return 1
--- a/hillfield/model/targets.py
+++ b/hillfield/model/targets.py
@@ -25,7 +25,7 @@
 
 
 class TargetId(Struct, frozen=True, order=True):
-    """Identify one incarnation of a target; a restart gives another."""
+    """Identify one incarnation; a restart changes `incarnation`."""
 
     service: str
     address: Address
