--- a/hillfield/detection/aging.py
+++ b/hillfield/detection/aging.py
@@ -8,7 +8,7 @@
 from hillfield.detection.health import OUT_OF_ROTATION, Health, HealthTrigger
 from hillfield.detection.records import TargetRecord, update_warmup
 from hillfield.detection.rotation import FULL_SHARE
-from hillfield.detection.service import ServiceState, update_weights
+from hillfield.detection.service import ServiceHealth, update_weights
 from hillfield.detection.transitions import (
     apply_trigger,
     compute_absence,
@@ -20,7 +20,7 @@
 PROBE_DELAY_SECONDS: Final = 2
 
 
-def advance_time(service: ServiceState, now: float) -> None:
+def advance_time(service: ServiceHealth, now: float) -> None:
     """Decay the counts and advance the targets' states up to now."""
     service.demand.advance(now)
     interval = service.tuning.half_life / DECAYS_PER_HALF_LIFE
@@ -43,7 +43,7 @@
 
 
 def _advance_target(
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     now: float,
 ) -> None:
@@ -64,7 +64,7 @@
 
 
 def apply_probe(
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     healthy: bool,
     now: float,
@@ -85,7 +85,7 @@
 
 
 def _advance_warmup(
-    service: ServiceState, record: TargetRecord, now: float
+    service: ServiceHealth, record: TargetRecord, now: float
 ) -> None:
     service.rotation_outdated |= update_warmup(
         record, now, service.policy.slow_start
@@ -95,7 +95,7 @@
 
 
 def _reduce_ejections(
-    service: ServiceState, record: TargetRecord, now: float
+    service: ServiceHealth, record: TargetRecord, now: float
 ) -> None:
     healthy_seconds = now - max(record.since, record.ejections_reduced_at)
     if healthy_seconds >= service.tuning.seconds_per_ejection:
@@ -104,7 +104,7 @@
 
 
 def _end_shedding(
-    service: ServiceState, record: TargetRecord, now: float
+    service: ServiceHealth, record: TargetRecord, now: float
 ) -> None:
     if record.shed_until <= now:
         record.shed_until = 0
--- a/hillfield/detection/announcing.py
+++ b/hillfield/detection/announcing.py
@@ -5,13 +5,13 @@
 from hillfield.detection.health import Health, HealthTrigger
 from hillfield.detection.latencies import classify_distance
 from hillfield.detection.records import TargetRecord
-from hillfield.detection.service import ServiceState
+from hillfield.detection.service import ServiceHealth
 from hillfield.detection.transitions import apply_trigger
 from hillfield.model import Target, TargetState
 
 
 def replace_targets(
-    service: ServiceState,
+    service: ServiceHealth,
     targets: tuple[Target, ...],
     now: float,
 ) -> None:
@@ -37,7 +37,7 @@
 
 
 def _create_record(
-    service: ServiceState,
+    service: ServiceHealth,
     target: Target,
     now: float,
     is_first: bool,
@@ -51,7 +51,7 @@
 
 
 def _follow_announcement(
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     now: float,
 ) -> None:
--- a/hillfield/detection/board.py
+++ b/hillfield/detection/board.py
@@ -16,7 +16,7 @@
 from hillfield.detection.records import build_status
 from hillfield.detection.reports import ReceivedEvidence
 from hillfield.detection.rotation import Rotation, build_rotation
-from hillfield.detection.service import ServiceState
+from hillfield.detection.service import ServiceHealth
 from hillfield.detection.sharing import receive_evidence, select_evidence
 from hillfield.detection.tuning import DEFAULT_TUNING, Tuning
 from hillfield.events import Occurrence
@@ -43,7 +43,7 @@
         tuning: Tuning = DEFAULT_TUNING,
     ) -> None:
         """Start without targets; `locality` is that of this node."""
-        super().__init__(ServiceState(policy, locality, tuning))
+        super().__init__(ServiceHealth(policy, locality, tuning))
         self._rotation = build_rotation((), policy.floor)
         self._reported = self._rotation
         self._now: float = 0
--- a/hillfield/detection/decay.py
+++ b/hillfield/detection/decay.py
@@ -6,14 +6,14 @@
 from hillfield.detection.health import IN_SERVICE
 from hillfield.detection.indicators import Indicator
 from hillfield.detection.records import TargetRecord
-from hillfield.detection.service import ServiceState
+from hillfield.detection.service import ServiceHealth
 from hillfield.model import TargetId
 
 READ_HAS_COUNTS: Final = attrgetter('has_counts')
 READ_HAS_FAILURES: Final = attrgetter('has_failures')
 
 
-def decay_counts(service: ServiceState, now: float) -> None:
+def decay_counts(service: ServiceHealth, now: float) -> None:
     """Let old counts decay, more slowly when there is little traffic."""
     elapsed = min(now - service.decayed_at, service.tuning.max_half_life)
     service.decayed_at = now
@@ -26,7 +26,7 @@
 
 
 def _decay_target(
-    service: ServiceState,
+    service: ServiceHealth,
     target: TargetId,
     factor: float,
     run_factor: float,
@@ -42,7 +42,7 @@
 
 
 def count_failure(
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     indicator: Indicator,
     now: float,
@@ -53,7 +53,7 @@
     service.failing_targets.add(record.target.id)
 
 
-def is_idle(service: ServiceState) -> bool:
+def is_idle(service: ServiceHealth) -> bool:
     """Return whether there are no counts, attempts or reports."""
     return not (
         service.counted_targets
@@ -62,7 +62,7 @@
     )
 
 
-def _select_half_life(service: ServiceState) -> float:
+def _select_half_life(service: ServiceHealth) -> float:
     tuning = service.tuning
     counts = [
         record.tallies[Indicator.UNREACHABLE].recent_requests
--- a/hillfield/detection/evaluation.py
+++ b/hillfield/detection/evaluation.py
@@ -15,7 +15,7 @@
 from hillfield.detection.service import (
     BASE_WEIGHTS,
     LATENCY_INDICATORS,
-    ServiceState,
+    ServiceHealth,
     update_weights,
 )
 from hillfield.detection.transitions import apply_trigger, remove_from_rotation
@@ -32,7 +32,7 @@
 
 
 def evaluate_target(
-    service: ServiceState, record: TargetRecord, now: float
+    service: ServiceHealth, record: TargetRecord, now: float
 ) -> None:
     """Suspect, eject or avoid the target if the counts call for it."""
     if record.health is Health.EJECTED or record.health is Health.DRAINING:
@@ -53,7 +53,7 @@
 
 
 def _is_too_soon(
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     counts: PooledCounts,
     now: float,
@@ -70,7 +70,7 @@
 
 
 def clear_suspicion(
-    service: ServiceState, record: TargetRecord, now: float
+    service: ServiceHealth, record: TargetRecord, now: float
 ) -> None:
     """End a suspicion that the counts no longer support."""
     if _has_own_failures(service, record):
@@ -81,7 +81,7 @@
         record.symptom = Symptom.NONE
 
 
-def _has_own_failures(service: ServiceState, record: TargetRecord) -> bool:
+def _has_own_failures(service: ServiceHealth, record: TargetRecord) -> bool:
     """Return whether this node's own counts still speak against the target.
 
     They are scored by the base weights: that peers are late at the moment
@@ -95,7 +95,7 @@
 
 
 def _eject_or_avoid(
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     counts: PooledCounts,
     now: float,
@@ -108,7 +108,7 @@
 
 
 def _record_reason(
-    service: ServiceState, record: TargetRecord, counts: PooledCounts
+    service: ServiceHealth, record: TargetRecord, counts: PooledCounts
 ) -> None:
     rate = counts.failures / max(1, counts.requests)
     record.symptom = counts.symptom
@@ -122,7 +122,7 @@
 
 
 def _find_worst_counts(
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     now: float,
 ) -> PooledCounts:
@@ -140,7 +140,7 @@
 
 
 def _score_counts(
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     indicator: Indicator,
     now: float,
@@ -160,7 +160,7 @@
     return own
 
 
-def _compute_threshold(service: ServiceState, record: TargetRecord) -> float:
+def _compute_threshold(service: ServiceHealth, record: TargetRecord) -> float:
     threshold = service.threshold
     if record.health is Health.TRIAL:
         return threshold * TRIAL_THRESHOLD_FACTOR
@@ -173,7 +173,7 @@
     return record.failed_probes >= MIN_FAILED_PROBES
 
 
-def _are_probes_plausible(service: ServiceState) -> bool:
+def _are_probes_plausible(service: ServiceHealth) -> bool:
     # Probes that fail at many targets point to a fault of the probes.
     failing = sum(map(_fails_probes, service.records.values()))
     return failing <= service.tuning.max_failing_probe_share * len(
--- a/hillfield/detection/explaining.py
+++ b/hillfield/detection/explaining.py
@@ -4,13 +4,13 @@
 from hillfield.detection.health import IN_SERVICE, Health
 from hillfield.detection.records import TargetRecord
 from hillfield.detection.rotation import Rotation
-from hillfield.detection.service import ServiceState
+from hillfield.detection.service import ServiceHealth
 from hillfield.events import EventCode, Occurrence
 from hillfield.model import TargetId, TargetState
 
 
 def explain_targets(
-    service: ServiceState,
+    service: ServiceHealth,
     rotation: Rotation,
 ) -> tuple[TargetExplanation, ...]:
     """Explain each target's state and share, ordered by target."""
@@ -33,7 +33,7 @@
 
 
 def report_floor_held(
-    service: ServiceState,
+    service: ServiceHealth,
     earlier: Rotation,
     later: Rotation,
 ) -> None:
--- a/hillfield/detection/lateness.py
+++ b/hillfield/detection/lateness.py
@@ -10,7 +10,7 @@
 from hillfield.detection.records import TargetRecord
 from hillfield.detection.service import (
     DISTANCES,
-    ServiceState,
+    ServiceHealth,
     can_compare_latency,
     record_latency,
     select_limits,
@@ -27,7 +27,7 @@
 
 
 def count_latency(
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     attempt: Attempt,
     now: float,
@@ -57,7 +57,7 @@
         evaluate_target(service, record, now)
 
 
-def count_overdue(service: ServiceState, now: float) -> None:
+def count_overdue(service: ServiceHealth, now: float) -> None:
     """Count the unanswered attempts that have just passed a limit."""
     limits = service.latency_references[DISTANCES].limits
     for attempt in service.attempts.collect_overdue(now, limits):
@@ -71,7 +71,7 @@
 
 
 def count_timeout(
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     attempt: Attempt,
     now: float,
@@ -89,7 +89,7 @@
     evaluate_target(service, record, now)
 
 
-def is_counted_as_late(service: ServiceState, attempt: Attempt) -> bool:
+def is_counted_as_late(service: ServiceHealth, attempt: Attempt) -> bool:
     """Return whether a time-out counts as lateness, not as an error."""
     return attempt.limits_passed >= MIN_LIMITS_PASSED and can_compare_latency(
         service
@@ -108,7 +108,7 @@
 class AttemptTracker:
     """Track the attempts of one service; times are in seconds."""
 
-    def __init__(self, service: ServiceState) -> None:
+    def __init__(self, service: ServiceHealth) -> None:
         """Track attempts for this service."""
         self._service = service
 
--- a/hillfield/detection/observations.py
+++ b/hillfield/detection/observations.py
@@ -9,7 +9,7 @@
 from hillfield.detection.health import OUT_OF_ROTATION, Health
 from hillfield.detection.indicators import Indicator
 from hillfield.detection.records import TRIAL_STAGES, TargetRecord
-from hillfield.detection.service import ServiceState
+from hillfield.detection.service import ServiceHealth
 from hillfield.detection.transitions import restore_target
 from hillfield.routing.declining import Declined
 from hillfield.routing.requests import (
@@ -31,7 +31,7 @@
 @singledispatch
 def count_observation(
     observation: object,
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     now: float,
 ) -> None:
@@ -42,7 +42,7 @@
 @count_observation.register
 def _count_caller_gone(
     observation: CallerGone,
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     now: float,
 ) -> None:
@@ -52,7 +52,7 @@
 @count_observation.register
 def _count_declined(
     observation: Declined,
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     now: float,
 ) -> None:
@@ -64,7 +64,7 @@
 @count_observation.register(NothingWritten)
 def _count_unreachable(
     observation: ConnectFailed | NothingWritten,
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     now: float,
 ) -> None:
@@ -76,7 +76,7 @@
 @count_observation.register
 def _count_shed(
     observation: Shed,
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     now: float,
 ) -> None:
@@ -90,7 +90,7 @@
 @count_observation.register
 def _count_broken(
     observation: Broken,
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     now: float,
 ) -> None:
@@ -101,7 +101,7 @@
 @count_observation.register
 def _count_timeout(
     observation: TimedOut,
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     now: float,
 ) -> None:
@@ -111,7 +111,7 @@
 @count_observation.register
 def _count_answer(
     observation: Answered,
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     now: float,
 ) -> None:
@@ -128,7 +128,7 @@
 
 
 def _count_reached(
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     now: float,
 ) -> None:
@@ -137,7 +137,7 @@
 
 
 def _count_error(
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     now: float,
     symptom: Symptom,
@@ -149,7 +149,7 @@
 
 
 def _count_trial_success(
-    service: ServiceState, record: TargetRecord, now: float
+    service: ServiceHealth, record: TargetRecord, now: float
 ) -> None:
     record.consecutive_successes += 1
     if (
--- a/hillfield/detection/pools.py
+++ b/hillfield/detection/pools.py
@@ -8,7 +8,7 @@
 from hillfield.detection.indicators import Indicator
 from hillfield.detection.records import TargetRecord
 from hillfield.detection.reports import ReceivedEvidence
-from hillfield.detection.service import ServiceState
+from hillfield.detection.service import ServiceHealth
 from hillfield.detection.tallies import Tally
 
 # Failures from which this node is one of those that confirm a fault.
@@ -56,7 +56,7 @@
 
 
 def pool_own_counts(
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     indicator: Indicator,
 ) -> PooledCounts:
@@ -79,7 +79,7 @@
 
 
 def pool_all_counts(
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     indicator: Indicator,
     received: tuple[ReceivedEvidence, ...],
@@ -128,7 +128,7 @@
 
 
 def _is_confirmed(
-    service: ServiceState, counts: PooledCounts, successes: float
+    service: ServiceHealth, counts: PooledCounts, successes: float
 ) -> bool:
     if len(counts.nodes) < 2:
         return False
--- a/hillfield/detection/service.py
+++ b/hillfield/detection/service.py
@@ -44,7 +44,7 @@
 
 
 @dataclass(slots=True)
-class ServiceState:
+class ServiceHealth:
     """Hold all that is known of a service's targets.
 
     `latency_references` holds one per distance and a last one over all
@@ -85,14 +85,14 @@
         return compute_threshold(self.policy, self.tuning)
 
 
-def select_limits(service: ServiceState, record: TargetRecord) -> Limits:
+def select_limits(service: ServiceHealth, record: TargetRecord) -> Limits:
     """Return the limits of targets at the same distance, or of all."""
     if service.targets_by_distance[record.distance] >= MIN_TARGETS_AT_DISTANCE:
         return service.latency_references[record.distance].limits
     return service.latency_references[DISTANCES].limits
 
 
-def can_compare_latency(service: ServiceState) -> bool:
+def can_compare_latency(service: ServiceHealth) -> bool:
     """Return whether enough targets are in service to compare latencies."""
     peers = sum(
         record.health in IN_SERVICE for record in service.records.values()
@@ -101,7 +101,7 @@
 
 
 def record_latency(
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     seconds: float,
 ) -> None:
@@ -110,7 +110,7 @@
     service.latency_references[DISTANCES].add(seconds)
 
 
-def update_weights(service: ServiceState, now: float) -> None:
+def update_weights(service: ServiceHealth, now: float) -> None:
     """Recompute the weights from how often the peers fail now."""
     decay = 0.5 ** (
         (now - service.weights_updated_at) / service.tuning.peer_rate_half_life
@@ -152,14 +152,16 @@
     )
 
 
-def _select_previous_rate(service: ServiceState, indicator: Indicator) -> float:
+def _select_previous_rate(
+    service: ServiceHealth, indicator: Indicator
+) -> float:
     rate = service.peer_rates[indicator]
     # The rate for too few peers says nothing once there are enough.
     return rate if rate <= service.tuning.peer_factor else 0
 
 
 def _compute_peer_rates(
-    service: ServiceState,
+    service: ServiceHealth,
     indicator: Indicator,
     peers: list[TargetRecord],
 ) -> tuple[float, ...]:
@@ -180,7 +182,7 @@
     )
 
 
-def _is_observed(service: ServiceState, peer: TargetRecord) -> bool:
+def _is_observed(service: ServiceHealth, peer: TargetRecord) -> bool:
     reached = peer.tallies[Indicator.UNREACHABLE]
     if reached.recent_requests >= MIN_OBSERVED_REQUESTS:
         return True
@@ -188,7 +190,7 @@
 
 
 def _count_excess_suspects(
-    service: ServiceState,
+    service: ServiceHealth,
     indicator: Indicator,
     rates: tuple[float, ...],
 ) -> float:
@@ -202,7 +204,7 @@
 
 
 def _compute_peer_rate(
-    service: ServiceState,
+    service: ServiceHealth,
     peer: TargetRecord,
     indicator: Indicator,
 ) -> float:
--- a/hillfield/detection/sharing.py
+++ b/hillfield/detection/sharing.py
@@ -19,7 +19,7 @@
 from hillfield.detection.reports import ReceivedEvidence
 from hillfield.detection.service import (
     BASE_WEIGHTS,
-    ServiceState,
+    ServiceHealth,
     update_weights,
 )
 from hillfield.detection.transitions import (
@@ -47,7 +47,7 @@
     evidence: Evidence
 
 
-def select_evidence(service: ServiceState, now: float) -> tuple[Evidence, ...]:
+def select_evidence(service: ServiceHealth, now: float) -> tuple[Evidence, ...]:
     """Return this node's own evidence, the strongest first."""
     failing = [
         record
@@ -65,7 +65,7 @@
 
 
 def receive_evidence(
-    service: ServiceState,
+    service: ServiceHealth,
     node: str,
     received: tuple[ReceivedEvidence, ...],
     now: float,
@@ -132,7 +132,7 @@
 
 
 def _extend_ejection(
-    service: ServiceState, record: TargetRecord, now: float
+    service: ServiceHealth, record: TargetRecord, now: float
 ) -> None:
     # Another node's trial has failed, so this node need not try as well.
     # A node whose floor keeps the target in use sends evidence all the time;
--- a/hillfield/detection/tests/test_busy_host.py
+++ b/hillfield/detection/tests/test_busy_host.py
@@ -7,8 +7,8 @@
 """
 
 from hillfield.detection.tests.test_healthdetector import (
-    UNHEALTHY,
     TARGETS,
+    UNHEALTHY,
     ServiceDriver,
 )
 from hillfield.events import EventCode
--- a/hillfield/detection/transitions.py
+++ b/hillfield/detection/transitions.py
@@ -12,7 +12,7 @@
     HealthTrigger,
 )
 from hillfield.detection.records import TargetRecord
-from hillfield.detection.service import ServiceState
+from hillfield.detection.service import ServiceHealth
 from hillfield.events import Occurrence
 
 # Part of an absence by which jitter prolongs it at most.
@@ -22,7 +22,7 @@
 
 
 def apply_trigger(
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     trigger: HealthTrigger,
     now: float,
@@ -49,7 +49,7 @@
 
 
 def remove_from_rotation(
-    service: ServiceState,
+    service: ServiceHealth,
     record: TargetRecord,
     trigger: HealthTrigger,
     now: float,
@@ -64,7 +64,7 @@
         record.out_until = now + compute_absence(service, record)
 
 
-def compute_absence(service: ServiceState, record: TargetRecord) -> float:
+def compute_absence(service: ServiceHealth, record: TargetRecord) -> float:
     """Return for how many seconds the target is to stay out of rotation.
 
     Jitter by node and target lets one node try the target before the
@@ -81,7 +81,7 @@
 
 
 def start_trial(
-    service: ServiceState, record: TargetRecord, now: float
+    service: ServiceHealth, record: TargetRecord, now: float
 ) -> None:
     """Start a trial with a small share of real requests."""
     if apply_trigger(service, record, HealthTrigger.START_TRIAL, now):
@@ -90,7 +90,7 @@
 
 
 def restore_target(
-    service: ServiceState, record: TargetRecord, now: float
+    service: ServiceHealth, record: TargetRecord, now: float
 ) -> None:
     """Return the target to its full share after its trial."""
     record.reason = 'its trial requests succeeded'
