--- a/hillfield/detection/summaries.py
+++ b/hillfield/detection/summaries.py
@@ -38,14 +38,16 @@
 
 def plan_trials(
     size: Size,
-    trouble: Trouble,
-    board: BoardKind,
+    disturbance: Trouble,
+    detector: BoardKind,
     cost: float,
     seeds: Iterable[int],
 ) -> tuple[Trial, ...]:
     """Return one run per seed; `cost` is that of a late detection."""
     policy = ServicePolicy('measured', late_detection_cost=cost)
-    return tuple(Trial(size, trouble, seed, board, policy) for seed in seeds)
+    return tuple(
+        Trial(size, disturbance, seed, detector, policy) for seed in seeds
+    )
 
 
 def summarise(measurements: tuple[Measurement, ...]) -> Summary:
--- a/hillfield/detection/tests/test_measurement.py
+++ b/hillfield/detection/tests/test_measurement.py
@@ -16,8 +16,8 @@
 SEEDS = (0, 1)
 
 
-def run(size, trouble, board=BoardKind.HEALTH, seconds=12):
-    planned = plan_trials(size, trouble, board, 1, SEEDS)
+def run(size, disturbance, detector=BoardKind.HEALTH, seconds=12):
+    planned = plan_trials(size, disturbance, detector, 1, SEEDS)
     return summarise(
         tuple(measure(replace(each, seconds=seconds)) for each in planned),
     )
@@ -25,18 +25,18 @@
 
 @pytest.mark.parametrize('size', [KESTRELMOOR, LOST_PROPERTY])
 @pytest.mark.parametrize(
-    'trouble',
+    'disturbance',
     [Trouble.SLOW_FIVEFOLD, Trouble.WRONG_ALWAYS, Trouble.STALL],
 )
-def test_faulty_target_gets_no_work_after_two_seconds(size, trouble):
-    summary = run(size, trouble)
+def test_faulty_target_gets_no_work_after_two_seconds(size, disturbance):
+    summary = run(size, disturbance)
     assert summary.p99 is not None
     assert summary.p99 <= 2
     assert summary.false_ejections == 0
 
 
 @pytest.mark.parametrize(
-    'trouble',
+    'disturbance',
     [
         Trouble.SLOWDOWN,
         Trouble.BURSTS,
@@ -47,8 +47,8 @@
         Trouble.MIXED_ROUTES,
     ],
 )
-def test_disturbance_without_a_faulty_target_ejects_none(trouble):
-    assert run(KESTRELMOOR, trouble).false_ejections == 0
+def test_disturbance_without_a_faulty_target_ejects_none(disturbance):
+    assert run(KESTRELMOOR, disturbance).false_ejections == 0
 
 
 def test_baseline_ejects_healthy_targets_when_probes_fail():
