--- a/hillfield/detection/__init__.py
+++ b/hillfield/detection/__init__.py
@@ -1,1 +1,1 @@
-"""Detection of sick targets: evidence in, decisions out."""
+"""Detection of unhealthy targets from evidence of requests."""
--- a/hillfield/detection/demand.py
+++ b/hillfield/detection/demand.py
@@ -22,7 +22,7 @@
     `recent` is a count that decays, `baseline` its value outside bursts: it
     falls quickly and rises slowly, so that bursts never become usual.
     `active_seconds` is for how long there have been requests: the baseline
-    is learnt anew after an idle time.
+    is learned anew after an idle time.
     """
 
     recent: float = 0
--- a/hillfield/detection/service.py
+++ b/hillfield/detection/service.py
@@ -156,7 +156,7 @@
     service: ServiceHealth, indicator: Indicator
 ) -> float:
     rate = service.peer_rates[indicator]
-    # The rate for too few peers says nothing once there are enough.
+    # The rate for too few peers is void once there are enough of them.
     return rate if rate <= service.tuning.peer_factor else 0
 
 
