--- a/hillfield/charts/charts.py
+++ b/hillfield/charts/charts.py
@@ -1,4 +1,4 @@
-"""Read and follow state charts that lie in TOML files."""
+"""Read and follow state charts in TOML files."""
 
 import tomllib
 from collections.abc import Iterable, Mapping
@@ -10,13 +10,13 @@
 from expression import Error, Ok, Result
 from msgspec import Struct
 
-from hillfield.charts.steps import (
+from hillfield.charts.transitions import (
     Actions,
-    BoundStep,
+    BoundTransition,
     ChartError,
     Refusal,
     States,
-    Step,
+    Transition,
 )
 
 Triggers = TypeVar('Triggers', bound=StrEnum)
@@ -24,23 +24,25 @@
 
 
 class BoundChart(Struct, Generic[States, Triggers, Actions], frozen=True):
-    """Follow a chart in the caller's own types."""
+    """Hold a chart in the caller's own types."""
 
     initial: States
-    steps: Mapping[tuple[States, Triggers], BoundStep[States, Actions]]
+    transitions: Mapping[
+        tuple[States, Triggers], BoundTransition[States, Actions]
+    ]
 
     def follow(
         self,
         state: States,
         trigger: Triggers,
-    ) -> BoundStep[States, Actions] | Refusal:
-        """Return the step that the trigger causes, or a refusal."""
-        step = self.steps.get((state, trigger))
-        return Refusal(state, trigger) if step is None else step
+    ) -> BoundTransition[States, Actions] | Refusal:
+        """Return the transition for the trigger, or a report of its absence."""
+        transition = self.transitions.get((state, trigger))
+        return Refusal(state, trigger) if transition is None else transition
 
 
 class Chart(Struct, frozen=True):
-    """Hold a checked chart.
+    """Hold a validated chart.
 
     >>> chart = parse_chart('''
     ... initial = 'closed'
@@ -49,19 +51,19 @@
     ... [states.open]
     ... ''').ok
     >>> chart.follow('closed', 'push')
-    Step(state='open', action='ring')
+    Transition(state='open', action='ring')
     >>> chart.follow('open', 'push')
     Refusal(state='open', trigger='push')
     """
 
     initial: str
     states: frozenset[str]
-    steps: Mapping[tuple[str, str], Step]
+    transitions: Mapping[tuple[str, str], Transition]
 
-    def follow(self, state: str, trigger: str) -> Step | Refusal:
-        """Return the step that the trigger causes, or a refusal."""
-        step = self.steps.get((state, trigger))
-        return Refusal(state, trigger) if step is None else step
+    def follow(self, state: str, trigger: str) -> Transition | Refusal:
+        """Return the transition for the trigger, or a report of its absence."""
+        transition = self.transitions.get((state, trigger))
+        return Refusal(state, trigger) if transition is None else transition
 
     def bind(
         self,
@@ -74,24 +76,26 @@
         `actions` has a member `none` if any transition names no action.
         """
         _require_same('states', states, self.states)
-        _require_same('triggers', triggers, (key[1] for key in self.steps))
+        _require_same(
+            'triggers', triggers, (key[1] for key in self.transitions)
+        )
         _require_same(
             'actions',
             actions,
-            (step.action for step in self.steps.values()),
+            (transition.action for transition in self.transitions.values()),
         )
-        steps = {
-            (states(state), triggers(trigger)): BoundStep(
-                states(step.state),
-                actions(step.action),
+        transitions = {
+            (states(state), triggers(trigger)): BoundTransition(
+                states(transition.state),
+                actions(transition.action),
             )
-            for (state, trigger), step in self.steps.items()
+            for (state, trigger), transition in self.transitions.items()
         }
-        return BoundChart(states(self.initial), MappingProxyType(steps))
+        return BoundChart(states(self.initial), MappingProxyType(transitions))
 
 
 def read_chart(package_file: Traversable) -> Chart:
-    """Read a chart that ships with the package; raise ChartError if wrong.
+    """Read a chart of the package; raise ChartError if it is invalid.
 
     Usual call: `read_chart(files('hillfield.detection') / 'health.toml')`.
     """
@@ -118,44 +122,46 @@
     chart = Chart(
         initial,
         frozenset(tables),
-        MappingProxyType(_collect_steps(tables)),
+        MappingProxyType(_collect_transitions(tables)),
     )
-    fault = _find_fault(chart)
-    return Error(fault) if fault else Ok(chart)
+    problem = _find_problem(chart)
+    return Error(problem) if problem else Ok(chart)
 
 
-def _collect_steps(
+def _collect_transitions(
     tables: Mapping[str, Mapping[str, Any]],
-) -> dict[tuple[str, str], Step]:
+) -> dict[tuple[str, str], Transition]:
     return {
-        (state, trigger): Step(
-            str(arrow.get('to', state)),
-            str(arrow.get('action', NO_ACTION)),
+        (state, trigger): Transition(
+            str(arc.get('to', state)),
+            str(arc.get('action', NO_ACTION)),
         )
-        for state, arrows in tables.items()
-        for trigger, arrow in arrows.items()
+        for state, arcs in tables.items()
+        for trigger, arc in arcs.items()
     }
 
 
-def _find_fault(chart: Chart) -> str:
-    named = {step.state for step in chart.steps.values()} | {chart.initial}
+def _find_problem(chart: Chart) -> str:
+    named = {transition.state for transition in chart.transitions.values()} | {
+        chart.initial
+    }
     unknown = named - chart.states
     if unknown:
         return _list_names('unknown states', unknown)
-    unreachable = chart.states - _reach(chart)
+    unreachable = chart.states - _find_reachable(chart)
     if unreachable:
         return _list_names('unreachable states', unreachable)
     return ''
 
 
-def _reach(chart: Chart) -> set[str]:
+def _find_reachable(chart: Chart) -> set[str]:
     reached = {chart.initial}
     size = 0
     while size < len(reached):
         size = len(reached)
         reached |= {
-            step.state
-            for (state, _), step in chart.steps.items()
+            transition.state
+            for (state, _), transition in chart.transitions.items()
             if state in reached
         }
     return reached
--- a/hillfield/charts/steps.py
+++ b/hillfield/charts/transitions.py
@@ -1,4 +1,4 @@
-"""What following a chart gives."""
+"""Transitions of state charts."""
 
 from enum import StrEnum
 from typing import Generic, TypeVar
@@ -10,10 +10,10 @@
 
 
 class ChartError(ValueError):
-    """Say what is wrong with a chart; it is a fault of the package."""
+    """Report an invalid chart, which is a fault of the package."""
 
 
-class Step(Struct, frozen=True):
+class Transition(Struct, frozen=True):
     """Hold the state after a transition and the action that goes with it."""
 
     state: str
@@ -21,14 +21,14 @@
 
 
 class Refusal(Struct, frozen=True):
-    """Say that the chart has no such transition."""
+    """Report that the chart has no such transition."""
 
     state: str
     trigger: str
 
 
-class BoundStep(Struct, Generic[States, Actions], frozen=True):
-    """Hold a `Step` in the caller's own types."""
+class BoundTransition(Struct, Generic[States, Actions], frozen=True):
+    """Hold a `Transition` in the caller's own types."""
 
     state: States
     action: Actions
--- a/hillfield/detection/attempts.py
+++ b/hillfield/detection/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts in flight, so that a stall shows before it times out."""
+"""Attempts in flight, to detect a stall before it times out."""
 
 from dataclasses import dataclass
 from itertools import chain
@@ -9,23 +9,24 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """Hold an attempt that has no answer yet; `overdue` counts limits.
+    """Hold an attempt that has no answer yet.
 
-    `aged_from` is the moment from which its age counts: later than its start
-    by the seconds in which this node read no answers.
+    `limits_passed` is how many latency limits it has passed. `aged_from` is
+    the time from which its age counts: later than its start by the seconds
+    in which this node read no answers.
     """
 
     target: TargetId
     started: float
     aged_from: float
-    overdue: int = 0
+    limits_passed: int = 0
 
 
 class AttemptsInFlight:
     """Keep attempts in the order of their start.
 
-    Attempts move on when they pass a limit, so each is looked at a few
-    times only, however long it hangs.
+    An attempt moves to the next stage when it passes a limit, so that it is
+    checked a few times only, however long it hangs.
     """
 
     def __init__(self) -> None:
@@ -45,12 +46,12 @@
         """Add an attempt."""
         self._fresh[number] = Attempt(target, now, now)
 
-    def excuse(self, now: float, seconds: float) -> None:
+    def discount_pause(self, now: float, seconds: float) -> None:
         """Leave the last seconds out of the age of each attempt."""
         for attempt in chain.from_iterable(map(dict.values, self._stages)):
             attempt.aged_from = min(now, attempt.aged_from + seconds)
 
-    def take(self, number: int) -> Attempt | None:
+    def remove(self, number: int) -> Attempt | None:
         """Remove and return an attempt."""
         for attempts in self._stages:
             attempt = attempts.pop(number, None)
@@ -59,7 +60,7 @@
         return None
 
     def collect_overdue(self, now: float, limits: Limits) -> list[Attempt]:
-        """Return attempts that have just passed a limit, with its number."""
+        """Return the attempts that have just passed a limit."""
         passed: list[Attempt] = []
         before = now - limits.hung
         _move(self._very_slow, self._hung, before, passed)
@@ -85,6 +86,6 @@
         attempt = source[number]
         if attempt.aged_from >= aged_before:
             return
-        attempt.overdue += 1
+        attempt.limits_passed += 1
         sink[number] = source.pop(number)
         passed.append(attempt)
--- a/hillfield/detection/baseline.py
+++ b/hillfield/detection/baseline.py
@@ -1,9 +1,8 @@
-"""A plain way of detection to measure against.
+"""A simple detector, the baseline that measurements compare with.
 
 Five consecutive errors or three failed probes take a target out for 30 s; a
-probe that succeeds brings it back.
-It has no floor, looks at no latency and hears no other node; it is never
-the default.
+probe that succeeds brings it back. It has no floor, disregards latency and
+uses no evidence of other nodes; it is never the default.
 """
 
 from dataclasses import dataclass
@@ -11,8 +10,8 @@
 
 from hillfield.detection.evidence import Symptom
 from hillfield.detection.explanations import TargetExplanation
-from hillfield.detection.quiet import QuietBoard
-from hillfield.detection.rotation import Rotation, Standing, build_rotation
+from hillfield.detection.resultdetector import ResultDetector
+from hillfield.detection.rotation import Rotation, TargetStatus, build_rotation
 from hillfield.events import EventCode, Occurrence
 from hillfield.model import (
     Locality,
@@ -43,7 +42,7 @@
     since: float = 0
 
 
-class BaselineBoard(QuietBoard):
+class BaselineBoard(ResultDetector):
     """Eject after fixed consecutive errors for a fixed time."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
@@ -56,7 +55,7 @@
         self._now: float = 0
 
     def adopt_policy(self, now: float, policy: ServicePolicy) -> None:
-        """Take the policy; nothing of it matters here."""
+        """Store the policy; this detector uses nothing of it."""
         self._policy = policy
 
     def adopt_targets(self, now: float, targets: tuple[Target, ...]) -> None:
@@ -86,7 +85,7 @@
             case ConnectFailed() | Broken() | TimedOut() | Answered():
                 record.errors += 1
         if record.errors >= ERRORS_TO_EJECT:
-            self.occurrences.append(_eject(now, record, 'errors'))
+            self.pending_occurrences.append(_eject(now, record, 'errors'))
             self._rotation = None
             self._now = now
 
@@ -97,7 +96,7 @@
         healthy: bool,
         seconds: float,
     ) -> None:
-        """Believe the probe."""
+        """Eject after failed probes, return the target after a good one."""
         record = self._records.get(target)
         if record is None:
             return
@@ -107,22 +106,24 @@
             return
         record.failed_probes += 1
         if record.failed_probes >= PROBES_TO_EJECT:
-            self.occurrences.append(_eject(now, record, 'failed probes'))
+            self.pending_occurrences.append(
+                _eject(now, record, 'failed probes')
+            )
             self._rotation = None
             self._now = now
 
     def rotation(self) -> Rotation:
         """Return the targets that are not ejected."""
         if self._rotation is None:
-            standings = tuple(
-                Standing(
+            statuses = tuple(
+                TargetStatus(
                     record.target,
-                    float(_serves(record, self._now)),
-                    counted=_serves(record, self._now),
+                    float(_is_in_service(record, self._now)),
+                    counts_as_kept=_is_in_service(record, self._now),
                 )
                 for record in self._records.values()
             )
-            self._rotation = build_rotation(standings, 0)
+            self._rotation = build_rotation(statuses, 0)
         return self._rotation
 
     def tick(self, now: float) -> tuple[Occurrence, ...]:
@@ -132,7 +133,7 @@
         return self.take_occurrences()
 
     def explain(self, now: float) -> tuple[TargetExplanation, ...]:
-        """Explain the treatment of each target."""
+        """Explain why each target does or does not receive work."""
         return tuple(
             TargetExplanation(
                 target,
@@ -160,7 +161,7 @@
     )
 
 
-def _serves(record: _Record, now: float) -> bool:
+def _is_in_service(record: _Record, now: float) -> bool:
     if record.target.state is TargetState.DRAINING:
         return False
     return record.until <= now
--- a/hillfield/detection/explaining.py
+++ b/hillfield/detection/explaining.py
@@ -1,19 +1,19 @@
-"""Explain why targets do or don't receive work."""
+"""Explain why targets do or do not receive work."""
 
 from hillfield.detection.explanations import TargetExplanation
 from hillfield.detection.health import IN_SERVICE, Health
 from hillfield.detection.records import TargetRecord
 from hillfield.detection.rotation import Rotation
-from hillfield.detection.service import Service
+from hillfield.detection.service import ServiceHealth
 from hillfield.events import EventCode, Occurrence
 from hillfield.model import TargetId, TargetState
 
 
 def explain_targets(
-    service: Service,
+    service: ServiceHealth,
     rotation: Rotation,
 ) -> tuple[TargetExplanation, ...]:
-    """Explain the treatment of each target, in the order of their names."""
+    """Explain each target's state and share, ordered by target."""
     shares = {
         candidate.target.id: candidate.share
         for candidate in rotation.candidates
@@ -23,22 +23,22 @@
             target,
             record.health.value,
             record.since,
-            _say_why(record),
+            _describe_reason(record),
             record.symptom,
             shares.get(target, 0),
-            target in rotation.held,
+            target in rotation.floor_held,
         )
         for target, record in sorted(service.records.items(), key=_order)
     )
 
 
-def report_held(
-    service: Service,
+def report_floor_held(
+    service: ServiceHealth,
     earlier: Rotation,
     later: Rotation,
 ) -> None:
-    """Report the targets that the floor has begun to hold."""
-    for target in sorted(later.held - earlier.held):
+    """Report the targets that the floor has begun to keep in rotation."""
+    for target in sorted(later.floor_held - earlier.floor_held):
         record = service.records.get(target)
         if record is None:
             continue
@@ -56,10 +56,10 @@
     return entry[0]
 
 
-def _say_why(record: TargetRecord) -> str:
+def _describe_reason(record: TargetRecord) -> str:
     match record.health:
         case Health.WARMING:
-            return 'newly announced or cold: its share grows'
+            return 'recently announced or cold: its share grows'
         case Health.DRAINING:
             return 'it announced that it is leaving'
     if record.health in IN_SERVICE and record.health is Health.HEALTHY:
--- a/hillfield/detection/health.py
+++ b/hillfield/detection/health.py
@@ -1,4 +1,4 @@
-"""The chart of a target's health and its words."""
+"""The state chart of a target's health, its triggers and actions."""
 
 from collections.abc import Mapping
 from enum import StrEnum
@@ -11,7 +11,7 @@
 
 
 class Health(StrEnum):
-    """Name the state of a target as one node judges it."""
+    """Name the state of a target as one node sees it."""
 
     WARMING = 'warming'
     HEALTHY = 'healthy'
@@ -23,21 +23,21 @@
 
 
 class HealthTrigger(StrEnum):
-    """Name what can change a target's health."""
+    """Name a cause of a change of a target's health."""
 
     WARM = 'warm'
     SUSPECT = 'suspect'
     CLEAR = 'clear'
-    CONDEMN = 'condemn'
-    SHUN = 'shun'
-    TRY = 'try'
+    EJECT = 'condemn'
+    AVOID = 'shun'
+    START_TRIAL = 'try'
     RECOVER = 'recover'
     DRAIN = 'drain'
     RETURN = 'return'
 
 
 class HealthAction(StrEnum):
-    """Name what to report with a change."""
+    """Name the event that reports a change."""
 
     NONE = 'none'
     REPORT_SUSPECTED = 'report-suspected'
@@ -49,12 +49,14 @@
     REPORT_DRAINED = 'report-drained'
 
 
-CHART: Final = read_chart(files('hillfield.detection') / 'health.toml').bind(
+HEALTH_CHART: Final = read_chart(
+    files('hillfield.detection') / 'health.toml'
+).bind(
     Health,
     HealthTrigger,
     HealthAction,
 )
-REPORTS: Final[Mapping[HealthAction, EventCode]] = MappingProxyType(
+EVENT_CODES: Final[Mapping[HealthAction, EventCode]] = MappingProxyType(
     {
         HealthAction.REPORT_SUSPECTED: EventCode.TARGET_SUSPECTED,
         HealthAction.REPORT_CLEARED: EventCode.TARGET_CLEARED,
@@ -65,7 +67,7 @@
         HealthAction.REPORT_DRAINED: EventCode.TARGET_DRAINED,
     },
 )
-OUT: Final = frozenset((Health.EJECTED, Health.AVOIDED))
+OUT_OF_ROTATION: Final = frozenset((Health.EJECTED, Health.AVOIDED))
 IN_SERVICE: Final = frozenset(
     (Health.WARMING, Health.HEALTHY, Health.SUSPECTED),
 )
--- a/hillfield/detection/pools.py
+++ b/hillfield/detection/pools.py
@@ -1,4 +1,4 @@
-"""Sum up what this node and others count of one indicator."""
+"""Pool the counts of one indicator of this node and others."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -7,25 +7,28 @@
 from hillfield.detection.health import Health
 from hillfield.detection.indicators import Indicator
 from hillfield.detection.records import TargetRecord
-from hillfield.detection.reports import Statement
-from hillfield.detection.service import Service
+from hillfield.detection.reports import ReceivedEvidence
+from hillfield.detection.service import ServiceHealth
 from hillfield.detection.tallies import Tally
 
-OWN_VIEW: Final = 0.5
-MOST_CLEAN: Final = 5.0
-CLEAN_SECONDS: Final = 1.0
-# A path can cause these; only a target itself answers wrongly or late.
+# Failures from which this node is one of those that confirm a fault.
+MIN_OWN_FAILURES: Final = 0.5
+# Most successes of this node that are pooled with others' failures.
+MAX_OWN_SUCCESSES: Final = 5.0
+# Seconds since the last success.
+MAX_SUCCESS_AGE: Final = 1.0
+# A failed path can cause these; wrong and late answers are the target's own.
 PATH_SYMPTOMS: Final = frozenset(
     (Symptom.UNREACHABLE, Symptom.STALLED, Symptom.BROKEN),
 )
 
 
 @dataclass(slots=True)
-class Pool:
-    """Sum up what this node and others count of one indicator.
+class PooledCounts:
+    """Hold the counts of one indicator at this node, or pooled with others.
 
-    `margin` is by how much the score passes the threshold (below 0: not);
-    `confirmed` says that enough points of view agree.
+    `margin` is by how much the score exceeds the threshold (below 0: not);
+    `confirmed` says that enough nodes, in enough failure domains, agree.
     """
 
     indicator: Indicator
@@ -39,8 +42,8 @@
     confirmed: bool = False
 
 
-def find_symptom(record: TargetRecord, indicator: Indicator) -> Symptom:
-    """Return what the indicator's failures at this node mean."""
+def infer_symptom(record: TargetRecord, indicator: Indicator) -> Symptom:
+    """Return the symptom that the indicator's failures at this node show."""
     match indicator:
         case Indicator.UNREACHABLE:
             return Symptom.UNREACHABLE
@@ -52,84 +55,86 @@
     return Symptom.SLOW
 
 
-def pool_own(
-    service: Service,
+def pool_own_counts(
+    service: ServiceHealth,
     record: TargetRecord,
     indicator: Indicator,
-) -> Pool:
-    """Sum up what this node counts."""
+) -> PooledCounts:
+    """Return the counts of this node."""
     tally = record.tallies[indicator]
-    pool = Pool(
+    counts = PooledCounts(
         indicator,
-        find_symptom(record, indicator),
+        infer_symptom(record, indicator),
         tally.requests,
         tally.failures,
         set(),
         set(),
     )
-    if pool.symptom in PATH_SYMPTOMS:
-        pool.path_failures = tally.failures
-    if tally.failures >= OWN_VIEW:
-        pool.nodes.add('')
-        pool.domains.add(service.locality.failure_domain)
-    return pool
+    if counts.symptom in PATH_SYMPTOMS:
+        counts.path_failures = tally.failures
+    if tally.failures >= MIN_OWN_FAILURES:
+        counts.nodes.add('')
+        counts.domains.add(service.locality.failure_domain)
+    return counts
 
 
-def pool_all(
-    service: Service,
+def pool_all_counts(
+    service: ServiceHealth,
     record: TargetRecord,
     indicator: Indicator,
-    statements: tuple[Statement, ...],
+    received: tuple[ReceivedEvidence, ...],
     now: float,
-) -> Pool:
-    """Sum up what this node and others count."""
-    pool = pool_own(service, record, indicator)
-    clean: float = 0
-    if not pool.nodes:
-        clean = _count_clean(record.tallies[indicator], now)
-    pool.requests += clean
-    for statement in statements:
-        if _speaks_of(statement, record, indicator):
-            _add_statement(pool, statement)
-    pool.confirmed = _is_confirmed(service, pool, clean)
-    return pool
-
-
-def _speaks_of(
-    statement: Statement,
+) -> PooledCounts:
+    """Return the counts of this node pooled with those of others."""
+    counts = pool_own_counts(service, record, indicator)
+    successes: float = 0
+    if not counts.nodes:
+        successes = _count_own_successes(record.tallies[indicator], now)
+    counts.requests += successes
+    for piece in received:
+        if _applies_to(piece, record, indicator):
+            _add_received(counts, piece)
+    counts.confirmed = _is_confirmed(service, counts, successes)
+    return counts
+
+
+def _applies_to(
+    piece: ReceivedEvidence,
     record: TargetRecord,
     indicator: Indicator,
 ) -> bool:
-    if statement.indicator is not indicator:
+    if piece.indicator is not indicator:
         return False
-    return record.health is not Health.TRIAL or statement.taken > record.since
+    return record.health is not Health.TRIAL or piece.received_at > record.since
 
 
-def _add_statement(pool: Pool, statement: Statement) -> None:
-    evidence = statement.evidence
+def _add_received(counts: PooledCounts, piece: ReceivedEvidence) -> None:
+    evidence = piece.evidence
     if evidence.symptom in PATH_SYMPTOMS:
-        pool.path_failures += evidence.failures
-    if not pool.nodes:
-        pool.symptom = evidence.symptom
-    pool.requests += evidence.requests
-    pool.failures += evidence.failures
-    pool.nodes.add(statement.node)
-    pool.domains.add(statement.domain)
+        counts.path_failures += evidence.failures
+    if not counts.nodes:
+        counts.symptom = evidence.symptom
+    counts.requests += evidence.requests
+    counts.failures += evidence.failures
+    counts.nodes.add(piece.node)
+    counts.domains.add(piece.domain)
 
 
-def _count_clean(tally: Tally, now: float) -> float:
-    if now - tally.succeeded_at > CLEAN_SECONDS:
+def _count_own_successes(tally: Tally, now: float) -> float:
+    if now - tally.succeeded_at > MAX_SUCCESS_AGE:
         return 0
-    clean = tally.recent_requests - tally.recent_failures
-    return min(MOST_CLEAN, clean)
+    successes = tally.recent_requests - tally.recent_failures
+    return min(MAX_OWN_SUCCESSES, successes)
 
 
-def _is_confirmed(service: Service, pool: Pool, clean: float) -> bool:
-    if len(pool.nodes) < 2:
+def _is_confirmed(
+    service: ServiceHealth, counts: PooledCounts, successes: float
+) -> bool:
+    if len(counts.nodes) < 2:
         return False
-    if pool.path_failures < pool.failures / 2:
+    if counts.path_failures < counts.failures / 2:
         return True
-    if clean >= 1:
-        # This node gets through: the others' paths are at fault.
+    if successes >= 1:
+        # This node reaches it: the others' paths are at fault.
         return False
-    return len(pool.domains) >= min(2, service.domains)
+    return len(counts.domains) >= min(2, service.domain_count)
--- a/hillfield/detection/tallies.py
+++ b/hillfield/detection/tallies.py
@@ -5,17 +5,17 @@
 
 from hillfield.detection.indicators import Weights
 
-NEGLIGIBLE: Final = 0.01
+NEGLIGIBLE_COUNT: Final = 0.01
 PRIOR_REQUESTS: Final = 1.0
 
 
 @dataclass(slots=True)
 class Tally:
-    """Count a run of requests since the target last looked well.
+    """Count a run of requests since the target last looked healthy.
 
-    The run is what a cumulative sum test keeps: it restarts when its score
-    falls to 0. Kept as counts rather than as a sum, it can be scored again
-    whenever the peers' rate changes. `recent_*` count all requests.
+    The run is that of a cumulative sum (CUSUM) test: it restarts when its
+    score falls to 0. Kept as counts rather than as a sum, it can be scored
+    again whenever the peers' rate changes. `recent_*` count all requests.
     """
 
     requests: float = 0
@@ -42,26 +42,26 @@
             return
         self.requests += 1
         if weights.score(self.requests, self.failures) <= 0:
-            self.restart()
+            self.reset_run()
 
     @property
-    def is_counted(self) -> bool:
-        """Return whether anything is worth keeping."""
-        return self.recent_requests > NEGLIGIBLE or self.failures > 0
+    def has_counts(self) -> bool:
+        """Return whether any counts are large enough to keep."""
+        return self.recent_requests > NEGLIGIBLE_COUNT or self.failures > 0
 
     @property
-    def is_blemished(self) -> bool:
-        """Return whether failures are among what is kept."""
-        return self.recent_failures > NEGLIGIBLE or self.failures > 0
+    def has_failures(self) -> bool:
+        """Return whether failures are among the counts to keep."""
+        return self.recent_failures > NEGLIGIBLE_COUNT or self.failures > 0
 
-    def restart(self) -> None:
+    def reset_run(self) -> None:
         """Start a new run."""
         self.requests = 0
         self.failures = 0
         self.unanswered = 0
 
-    def forget(self, factor: float, run_factor: float) -> None:
-        """Let the recent counts and those of the run fade."""
+    def decay(self, factor: float, run_factor: float) -> None:
+        """Reduce the recent counts and those of the run."""
         self.recent_requests *= factor
         self.recent_failures *= factor
         if not self.failures:
@@ -69,16 +69,16 @@
         self.requests *= run_factor
         self.failures *= run_factor
         self.unanswered *= run_factor
-        if self.failures < NEGLIGIBLE:
-            self.restart()
+        if self.failures < NEGLIGIBLE_COUNT:
+            self.reset_run()
 
 
-def find_rate(tally: Tally, requests: float, failures: float) -> float:
+def compute_rate(tally: Tally, requests: float, failures: float) -> float:
     """Return how often a peer fails now, for comparison.
 
-    `requests` and `failures` are what other nodes count in their runs. The
-    peer's present run is looked at as well as its recent requests: when all
-    targets begin to fail at once, the runs show it first.
+    `requests` and `failures` are the counts of other nodes' runs. The rate
+    is the higher of those of the peer's present run and of its recent
+    requests: when all targets begin to fail at once, the runs show it first.
     """
     failures += tally.failures
     if not failures and not tally.recent_failures:
