--- a/hillfield/proxy/__init__.py
+++ b/hillfield/proxy/__init__.py
@@ -1,4 +1,4 @@
-"""Request path: callers' requests go to targets and answers come back."""
+"""Request path: forwards callers' requests to targets, and the answers back."""
 
 from hillfield.proxy.memory import freeze_startup_memory
 from hillfield.proxy.meters import RequestMeter
--- a/hillfield/proxy/answers.py
+++ b/hillfield/proxy/answers.py
@@ -1,4 +1,4 @@
-"""Failure answers as callers get them."""
+"""Failure answers to callers."""
 
 import math
 from http import HTTPStatus
@@ -48,8 +48,8 @@
 ) -> Fields:
     """Return the headers of a failure answer.
 
-    The field's standard has whole seconds; `fractional` callers understand
-    more, and then come back no later than they need to.
+    The standard of Retry-After has whole seconds; `fractional` callers accept
+    fractions, so they retry no later than necessary.
     """
     fields = Fields(
         (
--- a/hillfield/proxy/attempts.py
+++ b/hillfield/proxy/attempts.py
@@ -1,4 +1,4 @@
-"""One attempt: a request on one connection to one target."""
+"""One attempt to send a request over one connection to one target."""
 
 from asyncio import get_running_loop
 from collections.abc import Awaitable
@@ -25,23 +25,23 @@
 
 
 class AttemptOwner(Protocol):
-    """Own the attempts of one request."""
+    """Owner of the attempts of one request."""
 
     def note_overflow(self, attempt: 'Attempt') -> Awaitable[None] | None:
-        """Decide on an answer that is too large to be held whole."""
+        """Forward an answer that exceeds the buffer limit, or reject it."""
 
     def note_ended(self, attempt: 'Attempt', observation: Observation) -> None:
-        """Note how the attempt ended."""
+        """Process the end of the attempt."""
 
     def note_stray(self, error: Exception) -> None:
-        """Note an error that nobody expected."""
+        """Process an unexpected error."""
 
 
 class Attempt(Handover):
-    """Send a request and take in its answer.
+    """Send a request and receive its answer.
 
-    `reported` tells that the dispatcher has been told of the end already,
-    `relay` where the answer goes to once it is relayed in parts.
+    `reported`: the end has been reported to the dispatcher already;
+    `reply`: where the answer is forwarded to once it is sent in parts.
     """
 
     owner: AttemptOwner
@@ -66,13 +66,13 @@
         self.owner = owner
 
     def begin(self) -> None:
-        """Send at once if a connection is idle; `run` does what is left."""
+        """Send immediately if a connection is idle; else `run` connects."""
         stream = self._tools.pool.reuse(self.send.target)
         if stream is not None:
             self.hand_over(stream)
 
     async def run(self) -> None:
-        """Make the attempt; its end is told to the owner once."""
+        """Run the attempt; its end is reported to the owner once."""
         try:
             await self._run()
         except Exception as error:
@@ -80,7 +80,7 @@
             self.owner.note_stray(error)
 
     def cut(self) -> None:
-        """End the attempt now; the target sees the connection close."""
+        """End the attempt by closing its connection to the target."""
         self._order.holder.drop_answer(len(self.answer.held))
         self.answer.held.clear()
         super().cut()
@@ -90,7 +90,7 @@
         start_line: RequestStartLine | ResponseStartLine,
         headers: HTTPHeaders,
     ) -> None:
-        """Take in the head of an answer, interim or final."""
+        """Receive the head of an answer, interim or final."""
         if self.ended or not isinstance(start_line, ResponseStartLine):
             return
         if self.answer.take_head(start_line, headers):
@@ -101,7 +101,7 @@
             self.go_on()
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
-        """Take in a part of the body."""
+        """Receive a part of the body."""
         if self.relay is not None:
             self._order.holder.add_answer(len(chunk))
             return self.relay.write_part(chunk)
@@ -114,7 +114,7 @@
         return self.owner.note_overflow(self)
 
     def finish(self) -> None:
-        """Take in the end of the answer."""
+        """Receive the end of the answer."""
         if self.answer.stray:
             return
         if self._stream is not None and self._stream.error is not None:
@@ -124,15 +124,15 @@
             self.end(self.answer.judge_whole())
 
     def end(self, observation: Observation) -> None:
-        """Note the end, once; the owner is told."""
+        """Report the first end of the attempt to the owner."""
         if self.ended:
             return
         self.ended = True
         self.expect_nothing()
         sender = self._sender
         if self._stream is not None and sender and not sender.sent:
-            # The request is not all written: what follows on this
-            # connection could not be told from the rest of it.
+            # The request is only written in part: the target would read
+            # anything that follows on this connection as the rest of it.
             self._stream.close()
         try:
             self.owner.note_ended(self, self.correct(observation))
--- a/hillfield/proxy/bodies.py
+++ b/hillfield/proxy/bodies.py
@@ -1,10 +1,10 @@
-"""Body of a caller's request on its way to a target."""
+"""Body of a caller's request that is forwarded to a target."""
 
 from asyncio import Future, get_running_loop
 
 
 class RequestBody:
-    """Hold a body whole up to a limit; above it, pass it on in parts."""
+    """Buffer of a complete body up to a limit; above it, of its next parts."""
 
     def __init__(self, limit: int) -> None:
         """Start empty; `limit` is in bytes."""
@@ -18,7 +18,7 @@
         self._discarding = False
 
     def put(self, part: bytes) -> Future[None] | None:
-        """Add a part; wait on the future before reading the next one."""
+        """Add a part; await the future before reading the next one."""
         self.size += len(part)
         if self._discarding:
             return None
@@ -31,12 +31,12 @@
         return self._taken
 
     def end(self) -> None:
-        """Note that the body is whole."""
+        """Mark the body as complete."""
         self.whole = True
         _wake(self._arrived)
 
     def join(self) -> bytes:
-        """Return a body that is held whole; it may be asked for again."""
+        """Return the buffered body, and keep it for another attempt."""
         return b''.join(self._parts)
 
     async def take(self) -> bytes:
@@ -50,7 +50,7 @@
         return part
 
     def discard(self) -> None:
-        """Drop what is held and what is still to come."""
+        """Discard the buffered and all further parts."""
         self._discarding = True
         self._parts.clear()
         _wake(self._taken)
--- a/hillfield/proxy/callers.py
+++ b/hillfield/proxy/callers.py
@@ -1,4 +1,4 @@
-"""Connection of a caller: its requests in their order."""
+"""Connection of a caller, with its requests in order."""
 
 import socket
 from asyncio import sleep
@@ -25,10 +25,10 @@
 
 
 class CallerConnection:
-    """Serve the requests of one connection in their order."""
+    """Server of the requests of one connection, in their order."""
 
     def __init__(self, link: socket.socket, context: ProxyContext) -> None:
-        """Take over an accepted socket."""
+        """Start with an accepted socket."""
         self.stream = CallerStream(
             link,
             context.settings,
@@ -61,7 +61,7 @@
             self._order.leave()
 
     async def refuse_connection(self) -> None:
-        """Answer without reading: the node has its limit of connections."""
+        """Refuse the connection unread: the limit of connections is reached."""
         limit = self._context.settings.connection_limit
         self.stream.refuse(
             Fault.CONNECTIONS.failure(
@@ -80,7 +80,7 @@
         return b'' if told is None else render_whole(told)
 
     def defer(self, answer: bytes) -> bool:
-        """Hold the last answer back while others come before it."""
+        """Queue a refusal behind earlier answers; return whether it was."""
         told = self._incoming is not None and self._incoming.reply.turn.come
         if told or not self._order.is_busy():
             return False
@@ -89,18 +89,18 @@
         return True
 
     def close_after_answer(self) -> None:
-        """Let the last request that was read be the last one."""
+        """Close the connection after the answer to the last request read."""
         if self._order.close_after_last():
             self.stream.ending = True
         elif self._incoming is not None:
             self._incoming.reply.turn.closing = True
 
     def is_idle(self) -> bool:
-        """Tell whether nothing is asked, and no byte of a request has come."""
+        """Return whether no request is in progress or partly received."""
         return self._timeouts.is_idle()
 
     def sweep(self, now: float) -> None:
-        """End the connection if it is late; `now` is loop seconds."""
+        """End the connection if it timed out; `now` is loop seconds."""
         self._timeouts.sweep(now)
 
     async def _serve(self) -> None:
@@ -124,7 +124,7 @@
         await self.stream.drain()
 
     async def _wait_for_room(self) -> None:
-        """Let pipelined requests pile up neither work nor answers."""
+        """Wait until pipelined requests and answers are within their limits."""
         stream = self.stream
         while not (self._order.has_room() or stream.closed()):
             stream.set_close_callback(self._order.wake)
--- a/hillfield/proxy/checks.py
+++ b/hillfield/proxy/checks.py
@@ -1,4 +1,4 @@
-"""Checks that tell a wrong answer from a good one."""
+"""Checks for wrong answers."""
 
 from hillfield.model import AnswerChecks
 
@@ -8,7 +8,7 @@
     status: int,
     has_header: bool,
 ) -> str:
-    """Return why the answer's head is wrong, or nothing.
+    """Return why the answer's head is wrong, or an empty string.
 
     >>> find_wrong_head(AnswerChecks(), 500, has_header=True)
     'status 500'
@@ -27,9 +27,9 @@
     part: bytes,
     size: int | None,
 ) -> str:
-    """Return why the answer is wrong by its first part, or nothing.
+    """Return why the answer's first part is wrong, or an empty string.
 
-    `size` is that of the whole body; None when it isn't known yet.
+    `size` is that of the complete body; None if it isn't known yet.
 
     >>> checks = AnswerChecks(minimum_length=3, required_prefix=b'ab')
     >>> find_wrong_body(checks, b'ab', 2)
--- a/hillfield/proxy/connections.py
+++ b/hillfield/proxy/connections.py
@@ -1,4 +1,4 @@
-"""All callers' connections of one node."""
+"""Connections of all callers of one node."""
 
 import socket
 from asyncio import (
@@ -15,16 +15,16 @@
 from hillfield.proxy.context import ProxyContext
 
 _REFUSALS_AT_ONCE: Final = 64
-# Seconds in which the answers to requests that could not be finished go out:
-# a reset would leave their callers without any.
+# Seconds to send the answers to requests that could not be finished: after an
+# immediate reset their callers would get no answer.
 _LAST_WORDS: Final = 0.1
 
 
 class CallerConnections:
-    """Accept connections up to a limit, and see them to their ends."""
+    """Accept connections up to a limit, and serve them to their ends."""
 
     def __init__(self, context: ProxyContext) -> None:
-        """Start with none."""
+        """Start without connections."""
         self.tasks: dict[CallerConnection, Task[None]] = {}
         self._context = context
         self._empty = Event()
@@ -45,14 +45,14 @@
         task.add_done_callback(lambda _: self._forget(connection))
 
     def sweep(self, now: float) -> None:
-        """End connections that are late; `now` is in loop seconds."""
+        """End connections that timed out; `now` is in loop seconds."""
         for connection in tuple(self.tasks):
             connection.sweep(now)
 
     async def drain(self) -> None:
-        """Wait until each connection has ended after its present request.
+        """Wait until each connection has ended after its current request.
 
-        Idle ones get a grace period, in which a request that is on its way
+        Idle ones get a grace period, in which a request that was already sent
         is still served.
         """
         settings = self._context.settings
--- a/hillfield/proxy/context.py
+++ b/hillfield/proxy/context.py
@@ -1,4 +1,4 @@
-"""What the requests of one node share."""
+"""State shared by the requests of one node."""
 
 from functools import partial
 from typing import Protocol
@@ -18,20 +18,20 @@
 
 
 class VerdictTaking(Protocol):
-    """Own a request that may be queued."""
+    """Owner of a request that may be queued."""
 
     def take(self, verdict: Verdict) -> None:
-        """Do what has been decided."""
+        """Carry out a decision of the dispatcher."""
 
     def expire(self) -> None:
-        """End the request now; its caller is told what has become of it."""
+        """End the request at its deadline and answer its caller."""
 
     def note_stray(self, error: Exception) -> None:
-        """End the request after an error that nobody expected."""
+        """End the request after an unexpected error."""
 
 
 class ProxyContext:
-    """Hold the requests in flight and what they are decided with."""
+    """Requests in flight, and the components that they use."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         meter: RequestMeter,
         guard: CrashGuard,
     ) -> None:
-        """Start with no request."""
+        """Start without requests."""
         self.settings = settings
         self.plans = plans
         self.dispatchers = dispatchers
@@ -56,13 +56,13 @@
         self.wakes = Wakes(self.poll)
 
     def poll(self, dispatching: Dispatching) -> None:
-        """Move queued requests on after an attempt has ended."""
+        """Carry out decisions on queued requests after an attempt has ended."""
         for verdict in dispatching.poll(monotonic()):
             self.deliver(verdict)
         self.wakes.follow(dispatching)
 
     def deliver(self, verdict: Verdict) -> None:
-        """Hand a verdict to the request that it is for."""
+        """Pass a decision to the request that it is for."""
         taker = self.takers.get(verdict.request)
         if taker is not None:
             run_guarded(partial(taker.take, verdict), taker.note_stray)
@@ -71,7 +71,7 @@
             dispatching.finish(monotonic(), verdict.attempt, CallerGone())
 
     def expire_all(self) -> None:
-        """End all requests now, each with an answer of its own."""
+        """End all requests now, each with a failure answer of its own."""
         for taker in tuple(self.takers.values()):
             run_guarded(taker.expire, taker.note_stray)
 
@@ -82,9 +82,9 @@
         service: str = '',
         course: str = '',
     ) -> None:
-        """Record a failure answer; deciders have recorded their own.
+        """Log a failure answer; deciding components have logged their own.
 
-        `course` says what became of the request before.
+        `summary` describes the request's attempts.
         """
         try:
             code = EventCode(failure.event)
--- a/hillfield/proxy/courses.py
+++ b/hillfield/proxy/courses.py
@@ -1,4 +1,4 @@
-"""What became of a request at its caller's node, told with its failure."""
+"""Summary of a request's attempts, for the log entry of its failure."""
 
 from typing import Final
 
@@ -11,8 +11,8 @@
     Send,
 )
 
-# Seconds for which a route counts as new: what is learnt of its requests is
-# learnt at each node anew.
+# Seconds for which a route counts as new: each node has to collect its own
+# statistics on the requests of a new route.
 NEW_FOR: Final = 30.0
 FIRST: Final = 'first'
 NEW: Final = 'new'
@@ -21,7 +21,7 @@
 
 
 class Course:
-    """Count the ends of a request's attempts; times are seconds.
+    """Counts of how a request's attempts ended; times are seconds.
 
     >>> course = Course(10.0)
     >>> course.describe(RequestPlan('fees', 'r', '', True, 1), 10.25)
@@ -29,7 +29,7 @@
     """
 
     def __init__(self, began: float) -> None:
-        """Start with no attempt."""
+        """Start without attempts."""
         self._began = began
         self._declined = 0
         self._held_back = 0
@@ -39,11 +39,11 @@
         self._urgency = Urgency.CHOOSY
 
     def note_sent(self, send: Send) -> None:
-        """Note that an attempt begins."""
+        """Record the start of an attempt."""
         self._urgency = send.urgency
 
     def note(self, written_at: float | None, observation: Observation) -> None:
-        """Note how an attempt ended, and when it was written, if it was."""
+        """Record how an attempt ended, and when it was written, if it was."""
         if isinstance(observation, Declined):
             self._declined += 1
             self._held_back += observation.lasting
@@ -55,7 +55,7 @@
                 self._first_sent = written_at
 
     def describe(self, plan: RequestPlan, now: float) -> str:
-        """Say which route it took, and how long what took."""
+        """Return a description of the route, the attempts and their times."""
         spent = now - self._began
         parts = [
             _describe_route(plan, now),
@@ -79,9 +79,9 @@
 
 
 def name_age(plan: RequestPlan, now: float) -> str | None:
-    """Return how long the node has had the route of a request, in a word.
+    """Return the age class of a request's route at this node.
 
-    None: it is not known here.
+    None: the age is not known at this node.
 
     >>> plan = RequestPlan('fees', 'r', '', True, 1, route_version=2,
     ...     route_since=5.0)
--- a/hillfield/proxy/deadlines.py
+++ b/hillfield/proxy/deadlines.py
@@ -1,4 +1,4 @@
-"""The moment at which a request has to end."""
+"""Timer for a request's deadline."""
 
 from asyncio import get_running_loop
 from collections.abc import Callable
@@ -8,13 +8,13 @@
 
 
 class Deadline:
-    """End a request in time; `expires` is in monotonic seconds.
+    """Timer that ends a request; `expires` is in monotonic seconds.
 
-    A loop that comes late reads first: the answer may lie there.
+    If the loop is late, it reads first: the answer may have arrived already.
     """
 
     def __init__(self, expires: float, end: Callable[[], None]) -> None:
-        """Start the time."""
+        """Start the timer."""
         self._expires = expires
         self._end = end
         self._timer = get_running_loop().call_later(
@@ -23,7 +23,7 @@
         )
 
     def cancel(self) -> None:
-        """End nothing, and hold what would have been ended no longer."""
+        """Cancel the timer, and release its reference to the request."""
         self._timer.cancel()
         self._end = _end_nothing
 
@@ -38,4 +38,4 @@
 
 
 def _end_nothing() -> None:
-    """End nothing: it was cancelled."""
+    """Do nothing: the timer was cancelled."""
--- a/hillfield/proxy/dialects.py
+++ b/hillfield/proxy/dialects.py
@@ -1,4 +1,4 @@
-"""What the headers of callers and of targets mean."""
+"""Header dialects of callers and of targets."""
 
 from collections.abc import Callable
 from http import HTTPStatus
@@ -20,22 +20,20 @@
 
 
 def tell_no_room() -> str:
-    """Return nothing: no gate stands here."""
+    """Return an empty string: this node has no gate."""
     return ''
 
 
 class CallerDialect(Struct, frozen=True):
-    """Say how callers and this node speak.
+    """Headers between callers and this node.
 
     `deadline` names the header with the milliseconds that a caller waits,
     `key_scheme` the scheme of credentials that are one bare key (empty: only
-    HTTP Basic is read),
-    `removed` the headers that are not passed on (named as tornado normalises
-    them), `keeps_ids` says that a request's id is passed on as it came even
-    if one like it is in flight, `fractional` that callers understand
-    fractions of a second in `Retry-After`. `tell_room` returns the header that
-    tells them of the room at the host's target (empty: there is none).
-    """
+    HTTP Basic is read), `removed` the headers that are not forwarded, in
+    tornado's normalized case. `keeps_ids`: a request's id is forwarded as
+    received even if another request in flight has it; `fractional`: callers
+    accept fractions of a second in `Retry-After`. `report_capacity` returns
+    the header with the capacity of the host's target (empty: none is sent)."""
 
     deadline: str = DEADLINE
     key_scheme: str = ''
@@ -46,7 +44,7 @@
 
 
 class TargetDialect(Protocol):
-    """Say how this node speaks with what it sends requests to."""
+    """Headers between this node and the servers that it sends requests to."""
 
     def add_fields(
         self,
@@ -55,42 +53,42 @@
         send: Send,
         remaining: float,
     ) -> None:
-        """Add what a request carries; `remaining` is in seconds."""
+        """Add the dialect's headers to a request; `remaining` is in seconds."""
 
     def read_failure(
         self,
         status: int,
         headers: HTTPHeaders,
     ) -> Observation | None:
-        """Return what an answer means that no target's work has made."""
+        """Return the observation for a failure answer; None for an answer."""
 
     def read_room(
         self,
         target: TargetId,
         headers: HTTPHeaders,
     ) -> LoadReport | None:
-        """Return what an answer tells of the room at its target, if so."""
+        """Return the target's capacity that an answer reports, if any."""
 
     def read_notice(
         self,
         status: int,
         headers: HTTPHeaders,
     ) -> TargetNotice | None:
-        """Return what an answer says of its target; None: it can't say."""
+        """Return the target's notice; None if the answer can't carry one."""
 
     def is_answer_to(self, request: str, headers: HTTPHeaders) -> bool:
-        """Tell whether an answer belongs to the request of this id."""
+        """Return whether an answer belongs to the request of this id."""
 
     def note_headers(self, headers: HTTPHeaders) -> None:
-        """Look at the headers of an answer that belongs to its request."""
+        """Inspect the headers of an answer that belongs to its request."""
 
     @property
     def sends_signs(self) -> bool:
-        """Tell whether interim answers are signs of life of a node."""
+        """Return whether interim answers are keepalives of a node."""
 
 
 class OwnDialect:
-    """Speak as hillfield's own targets do."""
+    """Dialect of targets that use hillfield's own headers."""
 
     def add_fields(
         self,
@@ -109,7 +107,7 @@
         status: int,
         headers: HTTPHeaders,
     ) -> Observation | None:
-        """Read the documented shed answer."""
+        """Return Shed for the documented load shedding answer."""
         if status != HTTPStatus.SERVICE_UNAVAILABLE:
             return None
         if headers.get(OUTCOME, '') != NOT_RUN:
@@ -121,30 +119,30 @@
         target: TargetId,
         headers: HTTPHeaders,
     ) -> None:
-        """Return nothing: targets don't tell of their room."""
+        """Return None: targets don't report their capacity."""
 
     def read_notice(
         self,
         status: int,
         headers: HTTPHeaders,
     ) -> None:
-        """Return nothing: targets say nothing of themselves."""
+        """Return None: these targets send no notices."""
 
     def is_answer_to(self, request: str, headers: HTTPHeaders) -> bool:
-        """Believe the connection: these targets answer in order."""
+        """Return True: these targets answer in order on each connection."""
         return True
 
     def note_headers(self, headers: HTTPHeaders) -> None:
-        """Look at none: all that these targets say is documented."""
+        """Ignore them: all headers of these targets are documented."""
 
     @property
     def sends_signs(self) -> bool:
-        """Tell that interim answers come of the target itself."""
+        """Return False: interim answers come from the target itself."""
         return False
 
 
 def names_request(request: str, headers: HTTPHeaders) -> bool:
-    """Tell whether an answer names the request of this id, or none.
+    """Return whether an answer names the request of this id, or none.
 
     >>> names_request('a', HTTPHeaders({'X-Request-Id': 'b'}))
     False
@@ -153,7 +151,7 @@
 
 
 def show_milliseconds(seconds: float) -> str:
-    """Return whole milliseconds, 0 at the least.
+    """Return whole milliseconds as text, at least 0.
 
     >>> show_milliseconds(0.25), show_milliseconds(-1)
     ('250', '0')
@@ -162,7 +160,7 @@
 
 
 def read_retry_after(headers: HTTPHeaders) -> float | None:
-    """Return the seconds of a Retry-After header, if it has them.
+    """Return the seconds of a Retry-After header, or None.
 
     >>> read_retry_after(HTTPHeaders({'Retry-After': '0.25'}))
     0.25
--- a/hillfield/proxy/exchanges.py
+++ b/hillfield/proxy/exchanges.py
@@ -1,4 +1,4 @@
-"""Course of one request from its admission to its answer."""
+"""Processing of one request from its admission to its answer."""
 
 from collections.abc import Awaitable
 from functools import partial
@@ -30,12 +30,12 @@
 )
 from hillfield.timers import Appointment, find_timer
 
-# Seconds after which the caller of a request that was not sent may ask again.
+# Seconds in the Retry-After of a request that was not sent before its deadline.
 _COME_BACK: Final = 1.0
 
 
 class Exchange:
-    """Carry out the verdicts on one request and answer its caller."""
+    """Carry out the decisions on one request and answer its caller."""
 
     def __init__(
         self,
@@ -43,7 +43,7 @@
         order: Order,
         reply: Reply,
     ) -> None:
-        """Start the deadline; the request may still be coming in."""
+        """Start the deadline timer; the request may still be arriving."""
         self.started = False
         self._started_at = float()
         self.closed = False
@@ -68,7 +68,7 @@
         )
 
     def start(self, replayable: bool) -> None:
-        """Ask for admission; `replayable`: the body is held whole."""
+        """Ask for admission; `replayable`: the complete body is in memory."""
         self.started = True
         self._started_at = monotonic()
         request = self._order.passage.key
@@ -95,7 +95,7 @@
         )
 
     def take(self, verdict: Verdict) -> None:
-        """Do what has been decided."""
+        """Carry out a decision of the dispatcher."""
         match verdict:
             case Send() if self.closed:
                 now = monotonic()
@@ -112,7 +112,7 @@
                 self._settle()
 
     def leave(self) -> None:
-        """Cancel the request of a caller that went away."""
+        """Cancel the request after its caller closed the connection."""
         if self.closed:
             return
         self._relay.record_leaving()
@@ -121,14 +121,14 @@
         self._close()
 
     def fail(self, failure: RequestFailure) -> None:
-        """Answer the caller with a failure, at once."""
+        """Send a failure to the caller immediately."""
         if self.closed:
             return
         self._close()
         self._relay.fail(failure)
 
     def note_overflow(self, attempt: Attempt) -> Awaitable[None] | None:
-        """Decide on an answer that is too large to be held whole."""
+        """Forward an answer that exceeds the buffer limit, or reject it."""
         observation = attempt.answer.judge_part()
         if observation is None:
             return self._begin_relay(attempt)
@@ -141,7 +141,7 @@
         return None
 
     def note_ended(self, attempt: Attempt, observation: Observation) -> None:
-        """Act on the end of an attempt."""
+        """Process the end of an attempt."""
         verdict: Verdict = Done(self._order.passage.key)
         if not attempt.reported:
             verdict = self._running.finish(attempt, observation)
@@ -157,11 +157,13 @@
         self._context.poll(self._dispatching)
 
     def expire(self) -> None:
-        """End the request now; its caller is told what has become of it."""
+        """End the request at its deadline and answer its caller."""
         if self.closed:
             return
         if not self.started:
-            self.fail(Fault.SLOW_REQUEST.failure('the body did not come'))
+            self.fail(
+                Fault.SLOW_REQUEST.failure('the body was not received in time'),
+            )
             return
         if not self._running.attempts:
             self._dispatching.leave(monotonic(), self._order.passage.key)
@@ -171,7 +173,7 @@
         self.fail(refusal)
 
     def note_stray(self, error: Exception) -> None:
-        """End the request after an error that nobody expected."""
+        """End the request after an unexpected error."""
         failure = describe_stray(error)
         if self.closed:
             self._relay.rescue(failure)
@@ -188,10 +190,10 @@
             return
         attempt = self._fallback
         if attempt is None:
-            self.fail(Fault.INTERRUPTED.failure('no answer is left'))
+            self.fail(Fault.INTERRUPTED.failure('no answer is available'))
             return
-        # An attempt holds its exchange: without the way back no cycle is left
-        # that only the garbage collector could free.
+        # An attempt references its exchange. Without the reference back to the
+        # attempt there is no cycle that only the garbage collector could free.
         self._fallback = None
         self._close()
         self._relay.send(attempt)
@@ -226,12 +228,12 @@
     observation: Observation,
     verdict: Verdict,
 ) -> bool:
-    """Tell whether an attempt's answer is what the caller gets."""
+    """Return whether an attempt's answer is sent to the caller."""
     if not isinstance(observation, Answered):
         return False
     if isinstance(verdict, Done):
         return True
-    # The target's own failure says more than one of ours.
+    # The target's own failure answer is more specific than a generated one.
     return order.plan.checks.relays_wrong and isinstance(verdict, Refuse)
 
 
--- a/hillfield/proxy/failures.py
+++ b/hillfield/proxy/failures.py
@@ -1,4 +1,4 @@
-"""Failures that the request path itself finds."""
+"""Failures that the request path itself detects."""
 
 from enum import Enum
 
@@ -7,7 +7,7 @@
 
 
 class Fault(Enum):
-    """Name each fault: status, outcome, step, event and what to do."""
+    """Kinds of failures: status, outcome, step and event code."""
 
     MALFORMED = (
         400,
@@ -94,7 +94,7 @@
         peer: str = '',
         retry_after: float | None = None,
     ) -> RequestFailure:
-        """Return the failure to tell the caller.
+        """Return the failure to send to the caller.
 
         >>> Fault.MALFORMED.failure('no host').status
         400
@@ -112,7 +112,7 @@
 
 
 def describe_stray(error: Exception) -> RequestFailure:
-    """Return the failure to tell after an error that nobody expected.
+    """Return the failure to send after an unexpected error.
 
     >>> describe_stray(ValueError('odd')).detail
     'ValueError: odd'
--- a/hillfield/proxy/fields.py
+++ b/hillfield/proxy/fields.py
@@ -6,14 +6,14 @@
 
 
 class Fields:
-    """Collect fields in order and render them at once.
+    """Ordered header fields that are rendered together.
 
-    tornado's `HTTPHeaders` checks and normalises each field; these come out
-    of such an object, or are the node's own, so both are done already.
+    Tornado's `HTTPHeaders` validates and normalizes each field. These come
+    from such an object, or from the node itself, so that is not repeated.
     """
 
     def __init__(self, pairs: Iterable[tuple[str, str]] = ()) -> None:
-        """Start with these names and texts."""
+        """Start with these names and values."""
         self._pairs = list(pairs)
 
     def add(self, name: str, text: str) -> None:
@@ -27,7 +27,7 @@
         self._pairs.append((name, text))
 
     def drop(self, name: str) -> None:
-        """Take out the fields of a name, which is given as it is written."""
+        """Remove the fields of a name, given in its exact case."""
         self._pairs = [pair for pair in self._pairs if pair[0] != name]
 
     def render(self, first_line: str) -> bytes:
@@ -37,7 +37,7 @@
         return head.encode('latin1')
 
     def to_headers(self) -> HTTPHeaders:
-        """Return what tornado's connections take."""
+        """Return the fields as tornado's connections expect them."""
         headers = HTTPHeaders()
         for name, text in self._pairs:
             headers.add(name, text)
--- a/hillfield/proxy/guards.py
+++ b/hillfield/proxy/guards.py
@@ -1,4 +1,4 @@
-"""Guard that keeps an unexpected error within its own request."""
+"""Handling of an unexpected error within its own request."""
 
 from collections.abc import Callable
 
@@ -7,7 +7,7 @@
     action: Callable[[], None],
     on_error: Callable[[Exception], None],
 ) -> None:
-    """Run the action; hand an error to who can answer the caller.
+    """Run the action; pass an error to a function that can answer the caller.
 
     >>> run_guarded(lambda: None, print)
     """
--- a/hillfield/proxy/handover.py
+++ b/hillfield/proxy/handover.py
@@ -1,11 +1,12 @@
-"""Handing a request over: at once, or in two steps where the way is doubtful.
-
-A connection to another node stays open when its host is cut off, stands still
-or loses power. Of what is written to it nobody knows whether it runs: work that
-runs once can't be sent elsewhere then, and other work only as a repeat, of which
-few may be sent. On a doubtful connection a request is therefore written without
-its end, and whole only once the other node has asked for the rest. Until then
-it certainly has not run, and sending it elsewhere is no repeat.
+"""Writing a request to a connection, at once or in two steps.
+
+A connection to another node stays open when its host is cut off, stalls or
+loses power. Whether a request written to it runs is unknown: work that must run
+once can't be sent elsewhere then, and other work only as a retry, of which few
+are allowed. On a connection that has not answered recently, a request is
+therefore written without its end, and the rest only once the other node has
+asked for it. Until then it certainly has not run, and sending it elsewhere is
+no retry.
 """
 
 from asyncio import get_running_loop
@@ -34,16 +35,16 @@
 
 
 class Handover(AnswerReading):
-    """Write one request to a connection.
+    """Writer of one request to one connection.
 
-    `written_at` is when it began to be certain no longer that it has not run
-    (None: it certainly has not).
+    `written_at` is when the request may first have run (None: it certainly
+    has not).
     """
 
     owner: StrayNoting
 
     def __init__(self, send: Send, order: Order, tools: AttemptTools) -> None:
-        """Prepare; nothing is written yet."""
+        """Initialize; nothing is written yet."""
         self.send = send
         self.written_at: float | None = None
         self.ended = False
@@ -54,7 +55,7 @@
         self._looking: Appointment | None = None
 
     def hand_over(self, stream: PromptStream) -> None:
-        """Write the request, or as much as is safe on a doubtful connection."""
+        """Write the request, or only its head on an unproven connection."""
         if stream.closed():
             self.end(NothingWritten('connection ended before use'))
             return
@@ -74,7 +75,7 @@
         self._looking = expect_sign(self, self._tools, self._order)
 
     def go_on(self) -> None:
-        """Write the rest of a request: the other end has asked for it."""
+        """Write the rest of a request after the other end asked for it."""
         held = self.written_at is None and not self.ended
         if self._stream is None or self._sender is None or not held:
             return
@@ -85,22 +86,22 @@
         self._write(self._sender.go_on)
 
     def end(self, observation: Observation) -> None:
-        """Note the end, once; the owner is told."""
+        """Report the first end of the attempt to the owner."""
 
     def cut(self) -> None:
-        """End the attempt now; the target sees the connection close."""
+        """End the attempt by closing its connection to the target."""
         self.ended = True
         self.expect_nothing()
         if self._stream is not None:
             self._stream.close()
 
     def expect_nothing(self) -> None:
-        """Look for no sign of life any more."""
+        """Cancel the check for a keepalive."""
         if self._looking is not None:
             self._looking.cancel()
 
     def correct(self, observation: Observation) -> Observation:
-        """Return what an end means: before all was written nothing has run."""
+        """Map an end before the full request was written to NothingWritten."""
         doubtful = isinstance(observation, (Broken, TimedOut))
         if self.written_at is None and doubtful:
             return NothingWritten(read_observation(observation).detail)
@@ -113,7 +114,7 @@
 
     def _write(self, action: Callable[[], None]) -> None:
         with suppress(StreamClosedError):
-            # Who reads the answer learns of it as well.
+            # The reader of the answer reports the closed connection.
             action()
 
 
@@ -122,11 +123,11 @@
     order: Order,
     settings: ProxySettings,
 ) -> bool:
-    """Tell whether a request should be handed over in two steps."""
+    """Return whether a request should be written in two steps."""
     after = settings.hand_over_after
     if after is None:
         return False
     if order.start_line.method == 'HEAD':
-        # Its answer has no body, whatever tornado's rules for the rest are.
+        # Written by tornado itself, so that it expects no body in the answer.
         return False
     return get_running_loop().time() - stream.proven_at >= after
--- a/hillfield/proxy/heads.py
+++ b/hillfield/proxy/heads.py
@@ -1,4 +1,4 @@
-"""Heads of requests and answers as they pass through a node."""
+"""Headers of requests and answers that a node forwards."""
 
 import re
 from base64 import b64decode
@@ -15,7 +15,7 @@
 
 HOP: Final = 'Hillfield-Hop'
 _REQUEST_ID_NAME: Final = 'X-Request-Id'
-# Names are in the case to which tornado normalises them.
+# Names are in tornado's normalized case.
 _HOP_BY_HOP: Final = frozenset(
     (
         'Connection',
@@ -57,12 +57,12 @@
 
 
 class Passage(Struct, frozen=True):
-    """Say what the node adds to a head that it passes on.
+    """Settings for the headers of one request that is forwarded.
 
     `request` is the id that others see, `key` the one by which this node
-    tells the request from all others in flight, `node` the name for `Via`
-    (empty: none is added), `removed` the headers that end here, `key_scheme`
-    the scheme of credentials beside HTTP Basic that end here as well.
+    identifies the request among all in flight, `node` the name for `Via`
+    (empty: no `Via` is added), `removed` the headers that are not forwarded,
+    `key_scheme` the credentials scheme that is not forwarded, like HTTP Basic.
     """
 
     request: str
@@ -77,7 +77,7 @@
     headers: HTTPHeaders,
     key_scheme: str = '',
 ) -> RequestHead:
-    """Return what a plan depends on.
+    """Return the parts of a request's head that a plan depends on.
 
     >>> line = RequestStartLine('GET', 'http://till/a?b', 'HTTP/1.1')
     >>> read_request_head(line, HTTPHeaders()).path
@@ -99,7 +99,7 @@
 
 
 def read_path(target: str) -> str:
-    """Return the request target in origin form.
+    """Return the request target in origin form (path and query).
 
     >>> read_path('http://till?x'), read_path('/a'), read_path('*')
     ('/?x', '/a', '*')
@@ -114,10 +114,10 @@
 
 
 def read_credentials(text: str, key_scheme: str = '') -> tuple[str, str]:
-    """Return account and secret, or blanks.
+    """Return account and secret, or empty strings.
 
-    They come as HTTP Basic credentials or, where there is a `key_scheme`, as
-    one key, which names its account by itself.
+    They are sent as HTTP Basic credentials or, where there is a
+    `key_scheme`, as a single key that identifies its account by itself.
 
     >>> read_credentials('Basic dGlsbDpvcGVu')
     ('till', 'open')
@@ -140,7 +140,7 @@
 
 
 def read_request_id(headers: HTTPHeaders) -> str:
-    """Return the caller's request id, or nothing when it is unusable."""
+    """Return the caller's request id, or an empty string if it is invalid."""
     request = headers.get(_REQUEST_ID_NAME, '')
     if _REQUEST_ID.fullmatch(request):
         return request
@@ -150,7 +150,7 @@
 def read_deadline(text: str | None, deadline: float) -> float | None:
     """Return the shorter of the caller's deadline and the plan's, seconds.
 
-    `text` is the caller's own, in milliseconds; None where it gave none.
+    `text` is the caller's header, in milliseconds; None if there is none.
 
     >>> read_deadline('250', 2)
     0.25
@@ -164,9 +164,9 @@
 
 
 def pass_request(headers: HTTPHeaders, passage: Passage) -> Fields:
-    """Return the headers for the target, without what its dialect adds.
+    """Return the headers for the target, before its dialect adds others.
 
-    The secret of the client account ends at the node.
+    The secret of the client account is not forwarded.
     """
     passed = Fields(
         pair
--- a/hillfield/proxy/identifiers.py
+++ b/hillfield/proxy/identifiers.py
@@ -9,7 +9,7 @@
 
 from hillfield.proxy.heads import read_request_id
 
-# One prefix a process and a number a request: unique over the fleet.
+# One prefix per process and one number per request: unique in the fleet.
 _PREFIX: Final = token_hex(6)
 _NUMBERS: Final = count(1)
 
--- a/hillfield/proxy/incoming.py
+++ b/hillfield/proxy/incoming.py
@@ -1,4 +1,4 @@
-"""Answer of a target as it comes in."""
+"""Answer of a target while it is received."""
 
 from typing import Final
 
@@ -14,12 +14,12 @@
 
 
 class IncomingAnswer:
-    """Hold the head and as much of the body as isn't relayed yet.
+    """Head and buffered body of an answer that is being received.
 
-    `failure` is what an answer means that no target's work has made, `stray`
-    says that it belongs to an earlier request of the connection, `alive` that
-    anything at all has come in answer, `notice` is what it says of the target
-    that gave it.
+    `failure` is the observation of a failure answer that does not come from
+    the target's own work; `stale`: the answer belongs to an earlier request of
+    the connection; `received`: anything has been received in answer; `notice`
+    is the target's notice about itself.
     """
 
     def __init__(
@@ -49,7 +49,7 @@
         start_line: ResponseStartLine,
         headers: HTTPHeaders,
     ) -> bool:
-        """Take in a head; return whether it is the final one."""
+        """Receive a head; return whether it is the final one."""
         if start_line.code < _FIRST_FINAL:
             self.alive = True
             self.interim = not self._dialect.sends_signs
@@ -67,26 +67,26 @@
         return True
 
     def allows_reuse(self) -> bool:
-        """Tell whether its connection may carry another request.
+        """Return whether the connection may carry another request.
 
-        An interim answer leaves a doubt: a second one might come late.
+        After an unexpected interim answer a second answer might come late.
         """
         if self.interim or self.start_line.version != 'HTTP/1.1':
             return False
         return _CLOSE not in self.headers.get('Connection', '').lower()
 
     def has_length(self) -> bool:
-        """Tell whether the length of the body is known from the head."""
+        """Return whether the length of the body is known from the head."""
         return 'Content-Length' in self.headers
 
     def is_decidable(self) -> bool:
-        """Tell whether enough has come for the plan's checks."""
+        """Return whether enough has arrived for the plan's checks."""
         checks = self._checks
         needed = max(checks.minimum_length, len(checks.required_prefix))
         return len(self.held) >= needed
 
     def find_wrong(self, whole: bool) -> str:
-        """Return why the answer is wrong by the plan's checks, or nothing."""
+        """Return why the answer fails the plan's checks, or an empty string."""
         has_header = self._checks.required_header in self.headers
         wrong = find_wrong_head(
             self._checks,
@@ -99,7 +99,7 @@
         return find_wrong_body(self._checks, bytes(self.held), size)
 
     def judge_part(self) -> Observation | None:
-        """Say why an answer that isn't whole yet must not be relayed."""
+        """Return why an incomplete answer must not be forwarded, or None."""
         if self.failure is not None:
             return self.failure
         wrong = self.find_wrong(whole=False)
@@ -108,7 +108,7 @@
         return None
 
     def judge_whole(self) -> Observation:
-        """Say what a whole answer means."""
+        """Return the observation of a complete answer."""
         if self.failure is not None and not self.relaying:
             return self.failure
         return Answered(
@@ -118,7 +118,7 @@
         )
 
     def judge_broken(self, detail: str) -> Observation:
-        """Say what an answer that ended early means."""
+        """Return the observation of an answer that ended early."""
         if self.failure is not None and not self.relaying:
             return self.failure
         return Broken(detail, self.relaying)
--- a/hillfield/proxy/intake.py
+++ b/hillfield/proxy/intake.py
@@ -1,4 +1,4 @@
-"""How much that is new a node takes in one pass of its loop."""
+"""Limits on the new connections and requests per pass of the event loop."""
 
 from asyncio import Future, get_running_loop
 from collections import deque
@@ -11,31 +11,31 @@
 
 from hillfield.model import Address
 
-# Connections, and requests, taken in one pass: what runs takes some seven passes
-# at each node from its send to its answer, and each new request makes one about a
-# millisecond long.
+# Connections, and requests, admitted in one pass: a running request takes about
+# seven passes at each node from send to answer, and each new request prolongs
+# a pass by about a millisecond.
 TAKEN_AT_ONCE: Final = 2
-# Connections that wait in the system's queue for their turn.
+# Backlog of the listening socket: connections that wait to be accepted.
 MOST_WAITING: Final = 1024
 
 Taker = Callable[[socket], None]
 
 
 class Intake:
-    """Let in requests whose heads have come, in order, a few at a time.
+    """Admit requests whose heads have arrived, in order, a few at a time.
 
-    The load: hundreds come at once. Taken in one pass, none of the answers to
-    what runs is read before all of them are parsed and refused, and what runs
-    is late with them.
+    Hundreds of requests can arrive at once. If all were admitted in one pass,
+    no answer to a running request would be read before all of them were
+    parsed and refused, and the running requests would be late.
     """
 
     def __init__(self) -> None:
-        """Let in the first ones at once."""
+        """Start with the full number of admissions for this pass."""
         self._left = TAKEN_AT_ONCE
         self._waiting: deque[Future[None]] = deque()
 
     async def enter(self) -> None:
-        """Return when it is the request's turn."""
+        """Wait until the request is admitted."""
         if self._left:
             self._take()
             return
@@ -49,7 +49,7 @@
             get_running_loop().call_soon(self._renew)
 
     def _renew(self) -> None:
-        """Let in the next ones: a pass has gone by."""
+        """Admit the next waiting requests in a new pass."""
         self._left = TAKEN_AT_ONCE
         while self._waiting and self._left:
             turn = self._waiting.popleft()
@@ -59,10 +59,10 @@
 
 
 class Acceptor:
-    """Listen at an address and hand over connections, a few at a time."""
+    """Listen at an address and pass on connections, a few at a time."""
 
     def __init__(self, address: Address, take: Taker) -> None:
-        """Listen; raises `OSError` when the address can't be had."""
+        """Listen; raises `OSError` when the address is not available."""
         listeners = bind_sockets(address.port, address.ip, backlog=MOST_WAITING)
         self._listener = listeners[0]
         self._take = take
@@ -74,7 +74,7 @@
         )
 
     def close(self) -> None:
-        """Take what waits, which a close would reset, and listen no more."""
+        """Accept waiting connections, which a close would reset, then close."""
         if self._listener.fileno() < 0:
             return
         get_running_loop().remove_reader(self._listener.fileno())
@@ -87,7 +87,7 @@
                 self._accept_one()
 
     def _accept_one(self) -> None:
-        """Take the next; raises `BlockingIOError` when none waits."""
+        """Accept a connection; raises `BlockingIOError` if none waits."""
         with suppress(ConnectionAbortedError):
             link, _ = self._listener.accept()
             self._take(link)
--- a/hillfield/proxy/leaving.py
+++ b/hillfield/proxy/leaving.py
@@ -1,4 +1,4 @@
-"""Look whether a caller has left behind bytes that nobody has read."""
+"""Check for a caller that closed its side while input is unread."""
 
 from select import POLLRDHUP, poll
 
@@ -6,9 +6,9 @@
 
 
 def has_left(stream: IOStream) -> bool:
-    """Tell whether the caller has ended its side.
+    """Return whether the caller has closed its side of the connection.
 
-    tornado learns of an end only once it has read all that came before.
+    Tornado detects that only once it has read all bytes before it.
     """
     if stream.closed():
         return True
--- a/hillfield/proxy/measurement/__init__.py
+++ b/hillfield/proxy/measurement/__init__.py
@@ -1,4 +1,4 @@
-"""Measurements of the request path, each part in its own process."""
+"""Measurements of the request path, with each component in its own process."""
 
 from hillfield.proxy.measurement.latency import (
     AddedLatency,
--- a/hillfield/proxy/measurement/__main__.py
+++ b/hillfield/proxy/measurement/__main__.py
@@ -1,4 +1,4 @@
-"""Parts of a measurement, each in a process of its own."""
+"""Entry point of the processes of a measurement."""
 
 import sys
 
@@ -10,7 +10,7 @@
 
 
 def main(role: str, *arguments: str) -> None:
-    """Run one part until its input ends."""
+    """Run one component until its input ends."""
     match role:
         case 'target':
             uvloop.run(target.serve())
--- a/hillfield/proxy/measurement/echo.py
+++ b/hillfield/proxy/measurement/echo.py
@@ -1,4 +1,4 @@
-"""Target that sends a request's chunked body back as it comes."""
+"""Target that echoes a request's chunked body while it arrives."""
 
 from asyncio import StreamReader, StreamWriter, start_server
 from typing import Final
@@ -12,7 +12,7 @@
 
 
 async def serve() -> None:
-    """Serve on a free port until told to stop."""
+    """Serve on a free port until standard input ends."""
     server = await start_server(_echo, '127.0.0.1', 0)
     await serve_until_told(server.sockets[0].getsockname()[1])
     server.close()
--- a/hillfield/proxy/measurement/latency.py
+++ b/hillfield/proxy/measurement/latency.py
@@ -16,7 +16,7 @@
 
 
 class LatencyPlan(msgspec.Struct, frozen=True):
-    """Say what to measure: factors of the base rate, seconds, repeats."""
+    """Plan of a measurement: factors of the base rate, seconds, repeats."""
 
     factors: tuple[float, ...] = (1, 2, 5)
     seconds: float = 6
@@ -24,14 +24,14 @@
 
 
 class Quantiles(msgspec.Struct, frozen=True):
-    """Hold milliseconds."""
+    """Quantiles in milliseconds."""
 
     p50: float
     p99: float
 
 
 class AddedLatency(msgspec.Struct, frozen=True):
-    """Hold milliseconds; `added` ones are medians over the repeats."""
+    """Latencies in milliseconds; `added` ones are medians over the repeats."""
 
     rate: float
     requests: int
@@ -42,7 +42,7 @@
 
 
 class LatencyFindings(msgspec.Struct, frozen=True):
-    """Hold the added latency per rate, and requests a second per core."""
+    """Added latency per rate, and requests per second and core."""
 
     added: tuple[AddedLatency, ...]
     capacity_per_core: float
@@ -50,7 +50,7 @@
 
 
 def measure_latency(plan: LatencyPlan) -> LatencyFindings:
-    """Measure the node against direct calls, interleaved in each run."""
+    """Compare the node with direct calls, interleaved in each run."""
     with Part('target') as target:
         target_port = target.read_line()
         with Part('node', target_port) as node:
--- a/hillfield/proxy/measurement/load.py
+++ b/hillfield/proxy/measurement/load.py
@@ -1,4 +1,4 @@
-"""Load on the node and on the target itself, interleaved in one run."""
+"""Load on the node and directly on the target, interleaved in one run."""
 
 from asyncio import (
     BaseTransport,
@@ -30,10 +30,10 @@
 
 
 class LoadSettings(Struct, frozen=True):
-    """Say what to send: `rate` requests a second to each port, open loop.
+    """Load to generate: `rate` requests a second to each port, open loop.
 
-    With a rate of 0 each of `callers` sends again as soon as it is answered,
-    to the first port only. `seconds` bounds the run.
+    With a rate of 0 each of `callers` sends again once it is answered, to the
+    first port only (closed loop). `seconds` bounds the run.
     """
 
     ports: tuple[int, ...]
@@ -44,20 +44,20 @@
 
 
 class Caller(Protocol):
-    """Send one request at a time over one connection."""
+    """Client that sends one request at a time over one connection."""
 
     def __init__(self) -> None:
-        """Wait for a connection."""
+        """Start without a connection."""
         self._received = bytearray()
         self._transport: Transport | None = None
         self._answered: Future[None] | None = None
 
     def connection_made(self, transport: BaseTransport) -> None:
-        """Take over a connection."""
+        """Store the transport of the new connection."""
         self._transport = cast(Transport, transport)
 
     def data_received(self, data: bytes) -> None:  # noqa: WPS110 asyncio's
-        """Note an answer that has come whole."""
+        """Complete the pending request if its answer is complete."""
         self._received += data
         end = self._received.find(_HEAD_END)
         whole = end >= 0 and self._received.startswith(b'HTTP/1.1 200')
@@ -67,12 +67,12 @@
                 self._answered.set_result(None)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Fail what waits for an answer."""
+        """Fail the pending request."""
         if self._answered is not None and not self._answered.done():
             self._answered.set_exception(ConnectionResetError())
 
     async def ask(self) -> float:
-        """Return the seconds from the request to its whole answer."""
+        """Return the seconds from the request to its complete answer."""
         self._answered = get_running_loop().create_future()
         began = perf_counter()
         if self._transport is not None:
@@ -83,7 +83,7 @@
 
 @dataclass(slots=True)
 class Lane:
-    """Hold the callers and the latencies of one port."""
+    """Callers and latencies of one port."""
 
     port: int
     idle: deque[Caller] = field(default_factory=deque)
--- a/hillfield/proxy/measurement/node.py
+++ b/hillfield/proxy/measurement/node.py
@@ -1,4 +1,4 @@
-"""The request path with the real decisions, alone in a process."""
+"""Request path with the real routing decisions, in a process of its own."""
 
 from random import Random
 from time import monotonic
@@ -39,7 +39,7 @@
 
 
 class OnePlan:
-    """Give one plan to all requests."""
+    """Plan source with one plan for all requests."""
 
     def resolve(
         self,
@@ -50,7 +50,7 @@
 
 
 async def serve(target_port: int) -> None:
-    """Serve on a free port until told to stop."""
+    """Serve on a free port until standard input ends."""
     table = DispatcherTable(_HERE, HealthBoard, Random(1))
     table.adopt_policy(monotonic(), ServicePolicy(_SERVICE, slow_start=0))
     address = Address('127.0.0.1', target_port)
--- a/hillfield/proxy/measurement/processes.py
+++ b/hillfield/proxy/measurement/processes.py
@@ -1,4 +1,4 @@
-"""Processes of a measurement: started by the tool, ended by their id."""
+"""Child processes of a measurement."""
 
 import subprocess  # noqa: S404  # fixed arguments, no shell
 import sys
@@ -13,7 +13,7 @@
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """Say what a process has used: processor seconds and peak kilobytes."""
+    """Resource usage of a process: processor seconds and peak kilobytes."""
 
     processor: float
     memory: int
@@ -26,7 +26,7 @@
 
 
 async def serve_until_told(port: int) -> None:
-    """Tell the port, then answer each line with the usage, until the end."""
+    """Print the port, then the usage for each input line, until input ends."""
     loop = get_running_loop()
     _tell(str(port))
     while await loop.run_in_executor(None, sys.stdin.readline):
@@ -39,7 +39,7 @@
 
 
 class Part:
-    """Run one part of a measurement; leaving the context ends it."""
+    """Process of a measurement; leaving the context ends it."""
 
     def __init__(self, role: str, *arguments: str) -> None:
         """Start the process."""
@@ -66,7 +66,7 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Ask the process to end, and see to it."""
+        """Close the process's input; kill it if it doesn't exit in time."""
         if self._process.stdin is not None:
             self._process.stdin.close()
         try:
--- a/hillfield/proxy/measurement/streaming.py
+++ b/hillfield/proxy/measurement/streaming.py
@@ -16,7 +16,7 @@
 
 
 class StreamingFindings(Struct, frozen=True):
-    """Hold peak memory of the node in kilobytes, and the bytes streamed.
+    """Peak memory of the node in kilobytes, and the bytes streamed.
 
     `warm` is the peak after a first, small transfer.
     """
@@ -28,7 +28,7 @@
 
 
 def measure_streaming(blocks: int) -> StreamingFindings:
-    """Stream `blocks` of 64 KB to a target that sends them back."""
+    """Stream `blocks` of 64 KB to a target that echoes them."""
     with Part('echo') as target:
         with Part('node', target.read_line()) as node:
             port = int(node.read_line())
--- a/hillfield/proxy/measurement/target.py
+++ b/hillfield/proxy/measurement/target.py
@@ -1,4 +1,4 @@
-"""Smallest target: answers each request with one fixed body."""
+"""Minimal target: answers each request with one fixed body."""
 
 from asyncio import BaseTransport, Protocol, Transport, get_running_loop
 from typing import Final, cast
@@ -14,19 +14,19 @@
 
 
 class FixedAnswers(Protocol):
-    """Answer each request whose body is BODY_SIZE bytes long."""
+    """Server that answers each request whose body is BODY_SIZE bytes long."""
 
     def __init__(self) -> None:
-        """Wait for a connection."""
+        """Start without a connection."""
         self._buffer = bytearray()
         self._transport: Transport | None = None
 
     def connection_made(self, transport: BaseTransport) -> None:
-        """Take over a connection."""
+        """Store the transport of the new connection."""
         self._transport = cast(Transport, transport)
 
     def data_received(self, data: bytes) -> None:  # noqa: WPS110 asyncio's
-        """Answer what has come whole."""
+        """Answer each complete request."""
         self._buffer += data
         end = self._buffer.find(_HEAD_END)
         while end >= 0:
@@ -40,7 +40,7 @@
 
 
 async def serve() -> None:
-    """Serve on a free port until told to stop."""
+    """Serve on a free port until standard input ends."""
     server = await get_running_loop().create_server(
         FixedAnswers,
         '127.0.0.1',
--- a/hillfield/proxy/meters.py
+++ b/hillfield/proxy/meters.py
@@ -1,4 +1,4 @@
-"""What the request path tells the metrics."""
+"""Interface of the request path to the metrics."""
 
 from typing import Protocol
 
@@ -6,23 +6,23 @@
 
 
 class RequestMeter(Protocol):
-    """Count requests; implemented by the node's metrics."""
+    """Counter of requests; implemented by the node's metrics."""
 
     def note_request(self, service: str, outcome: Outcome) -> None:
-        """Count a request by what its caller was told."""
+        """Count a request by the outcome sent to its caller."""
 
     def note_added(self, seconds: float) -> None:
-        """Note what the node added to the target's own time."""
+        """Record the latency that the node added to the target's own."""
 
     def note_retry(self, reason: str) -> None:
-        """Count a further attempt by what ended the one before."""
+        """Count a further attempt by how the one before ended."""
 
     def note_route(self, age: str, served: bool) -> None:
-        """Count a request by how long its route has been known here."""
+        """Count a request by the age of its route at this node."""
 
 
 class NoMeter:
-    """Count nothing."""
+    """Meter that counts nothing."""
 
     def note_request(self, service: str, outcome: Outcome) -> None:
         """Ignore it."""
--- a/hillfield/proxy/notices.py
+++ b/hillfield/proxy/notices.py
@@ -1,4 +1,4 @@
-"""Read what targets say of themselves in the headers of their answers."""
+"""Notices of targets about themselves in the headers of their answers."""
 
 import re
 from http import HTTPStatus
@@ -11,9 +11,9 @@
 from hillfield.proxy.dialects import names_request
 from hillfield.proxy.unread import UnreadHeaders
 
-# A longer one is no limit that anybody means.
+# More digits than these are not a plausible limit.
 DECIMAL: Final = re.compile(r'\d{1,9}(?:\.\d{1,9})?', re.ASCII)
-# Characters that are shown of a word that can't be read.
+# Characters shown of a header that can't be parsed.
 SHOWN: Final = 40
 FLAG: Final = re.compile('[01]')
 KEPT: Final = re.compile(r'(?:^|,)\s*timeout=(\d{1,9})(?=\s*(?:,|$))', re.ASCII)
@@ -21,12 +21,11 @@
 
 
 class AnswerWords(Struct, frozen=True):
-    """Name the headers of targets' answers, as tornado normalises them.
+    """Names of the headers of targets' answers, in tornado's normalized case.
 
     `digest`: only the target that made the answer can write it; `limit`: the
-    requests a second that it takes from all nodes together; `leaving`: 1 where
-    it takes no new work; `others` are read elsewhere, or need not be read.
-    """
+    requests a second that it accepts from all nodes together; `leaving`: 1 if
+    it accepts no new work; `others` are read elsewhere, or need not be read."""
 
     digest: str
     limit: str
@@ -34,15 +33,15 @@
     others: frozenset[str] = frozenset()
 
     def list_names(self) -> frozenset[str]:
-        """Return all headers that there is a word for."""
+        """Return the names of all known headers."""
         return self.others | {self.digest, self.limit, self.leaving}
 
 
 class NoticingDialect:
-    """Read what is alike in targets' answers, whatever the headers' names."""
+    """Parts common to dialects of targets that send notices."""
 
     def __init__(self, words: AnswerWords, unread: UnreadHeaders) -> None:
-        """Read by these words; `unread` sees all headers."""
+        """Use these header names; `unread` inspects all headers."""
         self._words = words
         self._unread = unread
 
@@ -51,10 +50,10 @@
         status: int,
         headers: HTTPHeaders,
     ) -> TargetNotice | None:
-        """Return what an answer says of its target; None: it can't say.
+        """Return the target's notice; None if the answer can't carry one.
 
-        Without its digest it is not the target's, nor if it says that it is
-        another life's.
+        An answer without the digest is not from the target, and a misdirected
+        one (421) is from another incarnation.
         """
         misdirected = status == HTTPStatus.MISDIRECTED_REQUEST
         if misdirected or self._words.digest not in headers:
@@ -62,27 +61,27 @@
         return read_notice(headers, self._words)
 
     def read_room(self, target: TargetId, headers: HTTPHeaders) -> None:
-        """Return nothing: targets don't tell of their room."""
+        """Return None: targets don't report their capacity."""
 
     def is_answer_to(self, request: str, headers: HTTPHeaders) -> bool:
-        """Tell whether an answer belongs to the request of this id."""
+        """Return whether an answer belongs to the request of this id."""
         return names_request(request, headers)
 
     def note_headers(self, headers: HTTPHeaders) -> None:
-        """Count those that there is no word for."""
+        """Count the headers that are not known."""
         self._unread.note(headers)
 
     @property
     def sends_signs(self) -> bool:
-        """Tell that interim answers come of the target itself."""
+        """Return False: interim answers come from the target itself."""
         return False
 
 
 def read_notice(headers: HTTPHeaders, words: AnswerWords) -> TargetNotice:
-    """Return what an answer's headers say of its target.
+    """Return the notice in an answer's headers.
 
-    Of several limits the least counts. One that can't be read says nothing:
-    it neither lifts the limit that holds nor makes one.
+    Of several limits the lowest counts. A limit that can't be parsed has no
+    effect: it neither lifts the present limit nor sets one.
 
     >>> words = AnswerWords('Digest', 'Limit', 'Leaving')
     >>> read_notice(HTTPHeaders({'Limit': '3, 2.4'}), words).rate
@@ -111,19 +110,19 @@
 
 
 def _read_all(form: re.Pattern[str], text: str | None) -> tuple[str, ...]:
-    """Return the members of a list, if all of them have the form."""
+    """Return the members of a list, if all of them match the pattern."""
     parts = tuple(map(str.strip, (text or '').split(',')))
     return parts if all(map(form.fullmatch, parts)) else ()
 
 
 def _show(name: str, text: str | None) -> str:
-    """Return what can't be read of a header; nothing where there is none."""
+    """Return a header that can't be parsed; nothing if there is none."""
     shown = repr(text)[:SHOWN]
     return '' if text is None else f'{name}: {shown}'
 
 
 def read_kept(headers: HTTPHeaders) -> float | None:
-    """Return the seconds for which an idle connection is kept, if told.
+    """Return the announced keep-alive timeout in seconds, if any.
 
     >>> read_kept(HTTPHeaders({'Keep-Alive': 'timeout=5, max=100'}))
     5.0
--- a/hillfield/proxy/orders.py
+++ b/hillfield/proxy/orders.py
@@ -1,4 +1,4 @@
-"""What every attempt of one request sends."""
+"""A planned request, as every attempt sends it."""
 
 from typing import Final
 
@@ -15,18 +15,18 @@
 from hillfield.routing.requests import Send
 
 _LENGTH: Final = 'Content-Length'
-# A body that is held is there as it came and as it is written.
+# Copies of a buffered body: as received, and as written to the target.
 COPIES: Final = 2
-# A streamed one: read from the caller, on its way, written to the target, and
-# one that is still taken in.
+# Parts of a streamed body in memory at a time: one read from the caller, one
+# queued, one written to the target, and one still being received.
 STREAMED_PARTS: Final = 4
 _BODY_METHODS: Final = frozenset(('POST', 'PUT', 'PATCH'))
 
 
 class Order(Struct, frozen=True):
-    """Hold a planned request; `expires` is in monotonic seconds.
+    """A planned request; `expires` is in monotonic seconds.
 
-    `holder` counts the bytes that are held for it.
+    `holder` counts the bytes held in memory for it.
     """
 
     start_line: RequestStartLine
@@ -54,9 +54,9 @@
 
 
 def describe_likeness(order: Order) -> Likeness:
-    """Return by what the request is known when it comes again.
+    """Return the properties by which a repeated request is recognized.
 
-    Of a body that is passed on in parts, what has come by now counts.
+    Of a streamed body, only the part received so far counts.
     """
     return Likeness(
         order.start_line.method,
@@ -68,7 +68,7 @@
 
 
 def find_length(order: Order) -> int | None:
-    """Return the bytes of the body; None when there is none or unknown."""
+    """Return the body's length in bytes; None if it has none or is unknown."""
     if not order.body.streamed:
         if order.body.size or order.start_line.method in _BODY_METHODS:
             return order.body.size
@@ -78,10 +78,9 @@
 
 
 def find_reserve(order: Order, part_size: int) -> tuple[int, int]:
-    """Return the bytes kept here at a time, and those of the whole body.
+    """Return the bytes held at a time, and those of the whole body.
 
-    Of an unknown length nothing is known of the whole: it is counted as it
-    comes.
+    A body of unknown length counts as 0 here: it is counted as it arrives.
     """
     if not has_body(order.headers):
         return 0, 0
@@ -94,14 +93,14 @@
 
 
 def needs_length(order: Order) -> bool:
-    """Tell that the body can't be streamed: tornado chunks few methods."""
+    """Return whether streaming needs a length: tornado chunks few methods."""
     if order.start_line.method in _BODY_METHODS:
         return False
     return order.body.streamed and _LENGTH not in order.headers
 
 
 def has_body(headers: HTTPHeaders) -> bool:
-    """Tell whether a body follows the head of a request.
+    """Return whether a body follows the head of a request.
 
     >>> has_body(HTTPHeaders({'Content-Length': '0'}))
     False
--- a/hillfield/proxy/planning.py
+++ b/hillfield/proxy/planning.py
@@ -1,4 +1,4 @@
-"""What is planned for a request once its head has come."""
+"""Planning of a request once its head has arrived."""
 
 from expression import Error, Ok, Result
 from msgspec import Struct
@@ -22,7 +22,7 @@
 
 
 class Naming(Struct, frozen=True):
-    """Hold the id that others see, and the one that only this node uses."""
+    """Ids of a request: the one that others see, and this node's own key."""
 
     request: str
     key: str
@@ -38,7 +38,7 @@
 ) -> Result[Order, RequestFailure]:
     """Return what each attempt sends, or the failure to answer with.
 
-    `came` is when the head had come: from then on its caller waits.
+    The deadline counts from `received_at`, when the head had arrived.
     """
     dialect = context.settings.callers
     head = read_request_head(start_line, headers, dialect.key_scheme)
@@ -49,10 +49,12 @@
     deadline = read_deadline(headers.get(dialect.deadline), plan.deadline)
     if deadline is None:
         return Error(
-            Fault.MALFORMED.failure(f'{dialect.deadline} is not milliseconds'),
+            Fault.MALFORMED.failure(
+                f'{dialect.deadline} is not a number of milliseconds',
+            ),
         )
     if deadline <= 0:
-        return Error(Fault.DEADLINE_NOT_RUN.failure('deadline of 0'))
+        return Error(Fault.DEADLINE_NOT_RUN.failure('the deadline is 0'))
     return Ok(
         Order(
             start_line._replace(path=read_path(start_line.path)),
@@ -73,7 +75,7 @@
 
 
 def name_request(headers: HTTPHeaders, context: ProxyContext) -> Naming:
-    """Return the ids of a request; the node's own is not in flight."""
+    """Return the ids of a request; its key is unique among those in flight."""
     key = find_request_id(headers, context.takers)
     if context.settings.callers.keeps_ids:
         return Naming(read_request_id(headers) or key, key)
@@ -81,14 +83,14 @@
 
 
 def rename_order(order: Order, context: ProxyContext) -> Order:
-    """Return the order of a request that has waited, under a free id."""
+    """Return a request that has waited with an id that is free now."""
     naming = name_request(order.headers, context)
     passage = replace(order.passage, request=naming.request, key=naming.key)
     return replace(order, passage=passage)
 
 
 def reserve_bytes(order: Order, part_size: int) -> RequestFailure | None:
-    """Take room for a request before its body is read, or refuse it."""
+    """Reserve memory for a request before its body is read, or refuse it."""
     detail = order.holder.reserve(*find_reserve(order, part_size))
     if not detail:
         return None
@@ -96,12 +98,12 @@
 
 
 def runs_beside(order: Order | None, headers: HTTPHeaders) -> bool:
-    """Tell whether a request may run beside those read before it.
+    """Return whether a request may run before the answers ahead are sent.
 
-    What may run once could neither be stopped nor asked for again if the
-    connection ended behind an answer before its own. Without an aim nobody
-    waits for a time. A body would be read while other answers are written.
-    A request that is refused (no order) has nothing to run.
+    If the connection ended within an earlier answer, a request that must run
+    only once could neither be stopped nor repeated. A request without an aim
+    has no latency target to meet. A body would be read while other answers are
+    written. A refused request (None) runs nothing.
     """
     if 'Upgrade' in headers or 'Expect' in headers or has_body(headers):
         return False
--- a/hillfield/proxy/pool.py
+++ b/hillfield/proxy/pool.py
@@ -1,4 +1,4 @@
-"""Connections to targets, each used by one request at a time."""
+"""Pool of connections to targets, each used by one request at a time."""
 
 import socket
 from asyncio import get_running_loop, wait
@@ -15,27 +15,28 @@
 from hillfield.timers import wait_until_read
 
 
-# Seconds before the end that a target names for an idle connection in which it
-# gets no request: what crosses its close may have run, and tells against it.
+# Seconds before the end of a target's keep-alive timeout in which an idle
+# connection is not reused: a request that crosses the close may have run, and
+# counts against the target.
 CLOSING: Final = 0.1
 
 
 class IdleLink(Struct, frozen=True):
-    """Hold a connection that nobody uses, until when; in loop seconds."""
+    """Idle connection, usable until `until` in loop seconds."""
 
     stream: PromptStream
     until: float
 
 
 class Pool:
-    """Keep idle connections per target.
+    """Idle connections per target.
 
-    How many are open at once follows from the dispatcher's slots: a request
-    takes a connection only when it has been told to send.
+    The dispatcher's slots bound how many are open at once: a request takes
+    a connection only after the decision to send it.
     """
 
     def __init__(self, settings: ProxySettings) -> None:
-        """Start empty."""
+        """Start without connections."""
         self._settings = settings
         self._idle: dict[TargetId, deque[IdleLink]] = {}
         self._retired: dict[TargetId, float] = {}
@@ -46,9 +47,9 @@
         stream: PromptStream,
         kept: float | None = None,
     ) -> None:
-        """Keep a connection whose exchange ended cleanly, or close it.
+        """Keep a connection whose exchange ended without an error, or close it.
 
-        `kept` is the seconds for which the other end says it keeps it.
+        `kept` is the other end's keep-alive timeout in seconds, if announced.
         """
         links = self._idle.setdefault(target, deque())
         full = len(links) >= self._settings.pool_idle_limit
@@ -61,7 +62,7 @@
         links.append(IdleLink(stream, stream.proven_at + self._bound(kept)))
 
     def retire(self, target: TargetId) -> None:
-        """Close a target's idle connections; those in use are not cut."""
+        """Close a leaving target's idle connections; leave those in use."""
         self._retired[target] = get_running_loop().time()
         for link in self._idle.pop(target, ()):
             link.stream.close()
@@ -88,7 +89,7 @@
             self.retire(target)
 
     def reuse(self, target: TargetId) -> PromptStream | None:
-        """Return an idle connection that is surely clean, if there is one."""
+        """Return an idle connection that is open and clean, if there is one."""
         self._retired.pop(target, None)
         links = self._idle.get(target)
         now = get_running_loop().time()
@@ -100,10 +101,10 @@
         return None
 
     async def connect(self, address: Address) -> Result[PromptStream, str]:
-        """Open a connection; the error says why there is none.
+        """Open a connection; the error says why it failed.
 
-        Where targets are reached through the nodes beside them, it leads to
-        the node of the address's host.
+        Where targets are reached through the nodes beside them, the connection
+        leads to the node on the address's host.
         """
         try:
             return Ok(await self._open(address))
@@ -113,10 +114,10 @@
             return Error(f'connect failed: {error.real_error}')
 
     async def is_refused(self, target: TargetId) -> bool:
-        """Tell whether nothing listens at the target's address any more.
+        """Return whether connections to the target's address are refused.
 
-        An idle connection that is still open answers it without a new one;
-        one that had to be opened is kept for the next request.
+        An idle connection that is still open shows that they are not; one that
+        had to be opened is kept for the next request.
         """
         stream = self.reuse(target)
         if stream is None:
@@ -130,12 +131,12 @@
         return False
 
     def _bound(self, kept: float | None) -> float:
-        """Return the seconds for which a connection may be used again."""
+        """Return the seconds for which a connection may be reused."""
         longest = self._settings.pool_idle_timeout
         return longest if kept is None else min(longest, kept - CLOSING)
 
     async def _open(self, address: Address) -> PromptStream:
-        """Open a connection; raises what the library does."""
+        """Open a connection; raises StreamClosedError or TimeoutError."""
         gate_port = self._settings.gate_port
         if gate_port is not None:
             address = Address(address.ip, gate_port)
@@ -154,7 +155,7 @@
 
 
 def _is_clean(stream: PromptStream) -> bool:
-    """Tell whether the connection is open and no stray byte has come."""
+    """Return whether the connection is open without unexpected bytes."""
     if stream.closed() or stream.unread:
         return False
     try:
--- a/hillfield/proxy/ports.py
+++ b/hillfield/proxy/ports.py
@@ -1,4 +1,4 @@
-"""What the request path needs of the configuration."""
+"""Interfaces that the request path requires of other components."""
 
 from typing import Protocol
 
@@ -10,12 +10,12 @@
 
 
 class RequestHead(Struct, frozen=True):
-    """Hold what a plan depends on.
+    """Parts of a request's head that its plan depends on.
 
-    `account` and `secret` come from HTTP Basic credentials; both are empty
-    when the caller sent none. `idempotency_key` is the header's value or
-    empty, `host` that of the Host header, `hop` what the node at which the
-    request began says of it (empty at that node itself).
+    `account` and `secret` come from HTTP Basic credentials; both are empty if
+    the caller sent none. `idempotency_key` and `host` are the values of their
+    headers, or empty. `hop` is the header of the node that received the
+    request from its caller (empty at that node itself).
     """
 
     method: str
@@ -28,7 +28,7 @@
 
 
 class PlanSource(Protocol):
-    """Resolve how a request is to be treated."""
+    """Source of the plans of requests."""
 
     def resolve(
         self,
@@ -38,7 +38,7 @@
 
 
 class CrashGuard(Protocol):
-    """Know requests again that end the targets that run them."""
+    """Registry of requests that crash the targets that run them."""
 
     def identify(self, likeness: Likeness) -> bytes:
         """Return the fingerprint of a request."""
@@ -49,14 +49,14 @@
         *,
         may_have_run: bool,
     ) -> RequestFailure | None:
-        """Return why a request is not sent to any target, if so."""
+        """Return why a request must not be sent to any target, if so."""
 
 
 class NoGuard:
-    """Know no request again."""
+    """Crash guard that recognizes no request."""
 
     def identify(self, likeness: Likeness) -> bytes:
-        """Take no fingerprint."""
+        """Return an empty fingerprint."""
         return b''
 
     def refuse(
@@ -65,4 +65,4 @@
         *,
         may_have_run: bool,
     ) -> RequestFailure | None:
-        """Let everything through."""
+        """Return None: every request may be sent."""
--- a/hillfield/proxy/relays.py
+++ b/hillfield/proxy/relays.py
@@ -1,4 +1,4 @@
-"""What a request's caller gets, and what is recorded of it."""
+"""Answers and failures to callers, with their log entries and metrics."""
 
 from collections.abc import Awaitable
 from http import HTTPStatus
@@ -16,7 +16,7 @@
 
 
 class Relay:
-    """Answer one caller from an attempt or with a failure."""
+    """Send one caller the answer of an attempt, or a failure."""
 
     def __init__(
         self,
@@ -25,20 +25,20 @@
         reply: Reply,
         course: Course,
     ) -> None:
-        """Prepare; nothing is answered yet."""
+        """Initialize; nothing is answered yet."""
         self._context = context
         self._order = order
         self._reply = reply
         self._course = course
 
     def begin(self, attempt: Attempt) -> Awaitable[None]:
-        """Relay an answer in parts from now on."""
+        """Forward an answer in parts from now on."""
         attempt.relay = self._reply
         attempt.answer.relaying = True
         return self._reply.begin(attempt.answer, self._order.passage)
 
     def end(self, observation: Observation) -> None:
-        """End a relayed answer, visibly broken if it is not whole."""
+        """End a forwarded answer, visibly broken if it is incomplete."""
         if isinstance(observation, Answered):
             self._count(Outcome.ANSWERED, served=not observation.wrong)
             self._reply.end()
@@ -49,7 +49,7 @@
         self._tell(failure)
 
     def send(self, attempt: Attempt) -> None:
-        """Relay an answer that is held whole."""
+        """Forward an answer that is complete in memory."""
         status = attempt.answer.start_line.code
         failed = status >= HTTPStatus.INTERNAL_SERVER_ERROR
         if failed:
@@ -58,24 +58,24 @@
         self._reply.send_whole(attempt.answer, self._order.passage)
 
     def send_sign(self) -> None:
-        """Show that the request has come, while there is no answer."""
+        """Send a keepalive, unless an answer has begun."""
         self._reply.send_sign()
 
     def fail(self, failure: RequestFailure) -> None:
-        """Answer with a failure, or cut an answer that has begun."""
+        """Send a failure, or abort an answer that has begun."""
         self._record(failure)
         self._count(failure.outcome)
         self._tell(failure)
 
     def rescue(self, failure: RequestFailure) -> None:
-        """Answer after an error that came when all had been settled."""
+        """Record an error after the request was closed; answer if none was."""
         if self._reply.begun:
             self._record(failure)
         else:
             self.fail(failure)
 
     def record_leaving(self) -> None:
-        """Record that the caller went away."""
+        """Record that the caller closed the connection."""
         self._context.journal.record(
             Occurrence(
                 EventCode.CALLER_GONE,
--- a/hillfield/proxy/replies.py
+++ b/hillfield/proxy/replies.py
@@ -1,4 +1,4 @@
-"""Answer on its way to a caller."""
+"""Answer to a caller."""
 
 from asyncio import Future
 from collections.abc import Callable
@@ -26,11 +26,11 @@
 
 
 class Reply:
-    """Answer one request in its turn, whole or visibly not whole.
+    """Answer one request in order, completely or visibly incomplete.
 
-    `begun` tells that a part of the answer has been given, `chunks` that the
-    caller understands chunked bodies, `came` when the request's head had
-    come, in monotonic seconds.
+    `begun`: part of the answer has been passed on for writing;
+    `chunks`: the caller understands chunked bodies; `received_at`: when the
+    head of the request had arrived, in monotonic seconds.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         dialect: CallerDialect,
         turn: Turn,
     ) -> None:
-        """Prepare the answer to the request that comes next."""
+        """Prepare the answer to the next request."""
         self.connection = connection
         self.turn = turn
         self.writer = AnswerWriter(connection, stream, turn)
@@ -57,20 +57,20 @@
         headers: HTTPHeaders,
         draining: bool,
     ) -> None:
-        """Learn from a request's head how its answer is to be written."""
+        """Set how the answer is written according to the request's head."""
         self.method = start_line.method
         self.came = self._stream.came
         asked = headers.get('Connection', '').lower()
         self.turn.closing = draining or 'close' in asked
         if start_line.version == 'HTTP/1.0':
-            # Only the connection's end tells an old caller where an answer
-            # of unknown length ends.
+            # An HTTP/1.0 caller detects the end of an answer of unknown
+            # length only by the end of the connection.
             self.turn.closing = True
             self.chunks = False
             headers.pop('Connection', None)
 
     def fail(self, failure: RequestFailure, request: str) -> None:
-        """Answer with a failure."""
+        """Send a failure."""
         body = render_body(failure, request)
         fields = list_fields(
             failure,
@@ -81,7 +81,7 @@
         self._answer(render_start(failure.status), fields, body)
 
     def send_whole(self, answer: IncomingAnswer, passage: Passage) -> None:
-        """Relay an answer that is held whole."""
+        """Forward an answer that is complete in memory."""
         fields = pass_answer(answer.headers, passage)
         body = bytes(answer.held)
         if self.method == 'HEAD' or answer.start_line.code in _BODILESS:
@@ -95,7 +95,7 @@
         answer: IncomingAnswer,
         passage: Passage,
     ) -> 'Future[None]':
-        """Relay the head and what is held; `write_part` follows."""
+        """Forward the head and the buffered part; `write_part` follows."""
         fields = pass_answer(answer.headers, passage)
         _keep_length(fields, answer)
         part = bytes(answer.held)
@@ -110,29 +110,29 @@
         )
 
     def send_sign(self) -> None:
-        """Write an interim answer, unless the answer has begun.
+        """Write an interim answer as a keepalive, unless the answer has begun.
 
-        Before its turn it would be taken for another answer's.
+        While earlier answers are pending it would be read as part of theirs.
         """
         if self.turn.come and not (self.begun or self._stream.closed()):
             self._stream.write(_SIGN)
 
     def watch(self, callback: Callable[[], None]) -> None:
-        """Learn of the caller's end while its request is still read."""
+        """Call back if the caller closes while its request is still read."""
         self._stream.set_close_callback(callback)
 
     def write_part(self, part: bytes) -> 'Future[None]':
-        """Relay a part; the future bounds what is buffered."""
+        """Forward a part; the future applies backpressure."""
         return self.turn.put(partial(self.writer.write_part, part), len(part))
 
     def end(self) -> None:
-        """End a whole answer."""
+        """End a complete answer."""
         self.turn.run(self.writer.end)
 
     def abort(self) -> bool:
-        """Give up a begun answer so that it doesn't look whole.
+        """Stop an answer so that the caller can see that it is incomplete.
 
-        Tell whether another can be given: nothing of it was written yet.
+        Return whether another can be sent: nothing of it was written yet.
         """
         if self.turn.come:
             self.writer.cut()
--- a/hillfield/proxy/requests.py
+++ b/hillfield/proxy/requests.py
@@ -1,4 +1,4 @@
-"""Request of a caller as it comes in."""
+"""Reading of one request from a caller."""
 
 from asyncio import Future
 from collections.abc import Awaitable
@@ -31,10 +31,10 @@
 
 
 class IncomingRequest(HTTPMessageDelegate):
-    """Read one request, and start its course once it can be sent."""
+    """Read one request and start its exchange once it can be sent."""
 
     def __init__(self, context: ProxyContext, reply: Reply) -> None:
-        """Wait for the head."""
+        """Start before the head has arrived."""
         self.reply = reply
         self._context = context
         self._request = ''
@@ -48,9 +48,10 @@
         start_line: RequestStartLine | ResponseStartLine,
         headers: HTTPHeaders,
     ) -> Awaitable[None] | None:
-        """Take in the head; refuse at once what can't be planned.
+        """Receive the head; refuse at once a request without a plan.
 
-        What may not run beside the requests before it waits for its turn.
+        A request that must not run concurrently waits until all answers before
+        its own are written.
         """
         if not isinstance(start_line, RequestStartLine):
             return None
@@ -69,7 +70,7 @@
         return self._begin_in_turn(headers)
 
     def data_received(self, chunk: bytes) -> 'Future[None] | None':
-        """Take in a part of the body; the future slows the caller down."""
+        """Receive a part of the body; the future applies backpressure."""
         taken = self._body.put(chunk)
         exchange = self._exchange
         if self._order is None or exchange is None or exchange.closed:
@@ -80,14 +81,14 @@
             _fail_reading(
                 exchange,
                 Fault.BODY_TOO_LARGE,
-                'the body is over the limit',
+                'the body exceeds the size limit',
             )
         elif taken is not None and not exchange.started:
             self._start_streaming(self._order, exchange)
         return taken
 
     def finish(self) -> None:
-        """Take in the end of the request."""
+        """Receive the end of the request."""
         self._body.end()
         self.reply.connection.set_close_callback(self.on_connection_close)
         self.reply.writer.note_read()
@@ -98,7 +99,7 @@
             run_guarded(partial(exchange.start, True), self._fail_stray)
 
     def on_connection_close(self) -> None:
-        """Cancel: the caller has gone."""
+        """Cancel the request after the caller closed the connection."""
         self._body.discard()
         self.reply.turn.drop()
         if self._order is not None:
@@ -107,9 +108,9 @@
             self._exchange.leave()
 
     def refuse(self, failure: RequestFailure) -> RequestFailure | None:
-        """Give up a request whose body is malformed.
+        """Cancel a request whose body is malformed.
 
-        Return the failure to tell, or nothing when an answer has begun.
+        Return the failure to send, or None when an answer has begun.
         """
         exchange = self._exchange
         started = exchange is not None and exchange.started
@@ -151,7 +152,7 @@
             self.reply.writer.holder = order.holder
             self._exchange = Exchange(self._context, order, self.reply)
         elif self._refusal is not None and has_body(headers):
-            # tornado must not ask for a body after the answer.
+            # Tornado must not send 100 Continue after the answer.
             headers.pop('Expect', None)
             self._refuse(self._refusal)
 
@@ -161,13 +162,13 @@
         if late or not came:
             self._order = None
         elif self._order is not None:
-            # Its id may have been taken while it waited.
+            # Another request may have taken its id while it waited.
             self._order = rename_order(self._order, self._context)
         if not came:
             self._refusal = None
         elif late:
             self._refusal = Fault.DEADLINE_NOT_RUN.failure(
-                'the requests before it took too long',
+                'the requests before it on the connection took too long',
             )
         run_guarded(partial(self._begin, headers), self._fail_stray)
 
@@ -183,7 +184,7 @@
             _fail_reading(
                 exchange,
                 Fault.LENGTH_REQUIRED,
-                'give a Content-Length',
+                'a body of this size needs a Content-Length',
             )
             return
         self.reply.watch(self.on_connection_close)
--- a/hillfield/proxy/running.py
+++ b/hillfield/proxy/running.py
@@ -1,4 +1,4 @@
-"""Attempts of one request that are in flight."""
+"""In-flight attempts of one request."""
 
 from asyncio import Task, TimerHandle, create_task, get_running_loop
 from functools import partial
@@ -28,19 +28,19 @@
     Verdict,
 )
 
-# Seconds after which a second attempt that found neither target nor budget is
-# tried again: slots come free about so often.
+# Seconds until a hedge is tried again that found no target or no retry budget:
+# slots become free about this often.
 HEDGE_AGAIN: Final = 0.1
-# Ends of an answer that has come whole.
+# Observations of a complete answer.
 _WHOLE: Final = (Answered, Shed)
 _SURELY_NOT_RUN: Final = (Shed, Declined)
 
 
 class RunningAttempts:
-    """Start attempts, and tell the dispatcher of each end exactly once.
+    """Start attempts and report the end of each to the dispatcher once.
 
-    `may_have_run` tells that the request may have run at some target,
-    `target_seconds` how long it was at targets.
+    `may_have_run`: the request may have run at some target;
+    `target_seconds`: the total time that its attempts spent at targets.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
         dispatching: Dispatching,
         course: Course,
     ) -> None:
-        """Start with none."""
+        """Start without attempts."""
         self._course = course
         self._order = order
         self._hedge_timer: TimerHandle | None = None
@@ -69,13 +69,13 @@
         self._tasks: set[Task[None]] = set()
 
     def identify(self) -> bytes:
-        """Take the fingerprint of the request, whose body has come."""
+        """Compute and keep the fingerprint of the request after its body."""
         guard = self._context.guard
         self._fingerprint = guard.identify(describe_likeness(self._order))
         return self._fingerprint
 
     def find_refusal(self) -> RequestFailure | None:
-        """Return why the request is not sent to any target, if so."""
+        """Return why the request must not be sent to any target, if so."""
         return self._context.guard.refuse(
             self._fingerprint,
             may_have_run=self.may_have_run or bool(self.attempts),
@@ -86,11 +86,11 @@
         send: Send,
         owner: AttemptOwner,
     ) -> RequestFailure | None:
-        """Start an attempt, and time a second one beside it.
+        """Start an attempt and schedule a hedge beside it.
 
-        First attempts, repeats, second ones and what has waited all pass
-        here, so each asks anew whether targets have ended under the request
-        meanwhile; then it isn't sent, and the failure is returned.
+        First attempts, retries, hedges and queued requests all pass here, so
+        each checks whether targets have exited while running the request
+        meanwhile. If so, the request is not sent and the failure is returned.
         """
         refusal = self.find_refusal()
         if refusal is not None:
@@ -111,7 +111,7 @@
         return None
 
     def finish(self, attempt: Attempt, observation: Observation) -> Verdict:
-        """Report the end of an attempt."""
+        """Report the end of an attempt and return the decision that follows."""
         self.attempts.pop(attempt.send.attempt, None)
         now = monotonic()
         self._reason = type(observation).__name__
@@ -128,7 +128,7 @@
         )
 
     def hear(self, attempt: Attempt) -> None:
-        """Tell what the target says of itself, once an answer is believed."""
+        """Report the target's notice once its answer is accepted."""
         notice = attempt.answer.notice
         if notice is not None:
             attempt.answer.notice = None
@@ -137,7 +137,7 @@
             self._dispatching.note_notice(now, number, notice)
 
     def cut(self, winner: Attempt | None = None) -> None:
-        """Cancel all attempts but the winner at their targets."""
+        """Cancel all attempts except the winner."""
         if self._hedge_timer is not None:
             self._hedge_timer.cancel()
         for attempt in tuple(self.attempts.values()):
@@ -146,7 +146,7 @@
                 self.finish(attempt, CallerGone())
 
     def expire(self) -> RequestFailure | None:
-        """End all attempts at the deadline; return the failure to tell."""
+        """End all attempts at the deadline; return the failure, if any."""
         refusal = None
         for attempt in tuple(self.attempts.values()):
             attempt.cut()
--- a/hillfield/proxy/screening.py
+++ b/hillfield/proxy/screening.py
@@ -1,7 +1,7 @@
-"""Strict check of a request's head before anything interprets it.
+"""Strict check of a request's head before anything parses it.
 
-Two parties that read one head differently can be made to disagree on where
-a request ends (request smuggling), so each ambiguous shape is refused.
+Two servers that parse one head differently can be made to disagree on where a
+request ends (request smuggling), so each ambiguous form is refused.
 """
 
 import re
@@ -37,7 +37,7 @@
     head: bytes,
     settings: ProxySettings,
 ) -> RequestFailure | None:
-    """Return what is wrong with a head, or nothing."""
+    """Return the failure for an ambiguous or oversized head, or None."""
     line = _LINE.match(head)
     if line is None:
         return Fault.MALFORMED.failure('the request line is malformed')
--- a/hillfield/proxy/sending.py
+++ b/hillfield/proxy/sending.py
@@ -1,4 +1,4 @@
-"""A request's way onto a connection to a target."""
+"""Writing of one request to a connection to a target."""
 
 from asyncio import Task, create_task
 from typing import Final
@@ -16,11 +16,11 @@
 
 
 class Sender:
-    """Write one request; `sent` tells that all of it has been handed over.
+    """Writer of one request; `sent`: all of it has been written.
 
-    It is written by `start`, or by `announce` and `go_on`: first the head, so
-    framed that the request is not whole without the rest, which the other end
-    asks for. Until then it can't have been passed on.
+    It is written by `start`, or by `write_head_only` and `write_rest`: first
+    the head, framed so that the request is incomplete without the rest, which
+    the other end asks for. Until then it can't have been forwarded.
     """
 
     def __init__(
@@ -30,7 +30,7 @@
         dialect: TargetDialect,
         send: Send,
     ) -> None:
-        """Prepare; nothing is written yet."""
+        """Initialize; nothing is written yet."""
         self.sent = False
         self.connection = connection
         self._order = order
@@ -39,7 +39,7 @@
         self._writer: Task[None] | None = None
 
     def start(self) -> None:
-        """Write the head, and the body as far as it is there."""
+        """Write the head, and as much of the body as has arrived."""
         order = self._order
         fields = self._list_fields()
         if order.body.streamed:
@@ -47,7 +47,7 @@
             self._writer = create_task(self._write_body())
             return
         if order.start_line.method == 'HEAD':
-            # tornado has to know that the answer has no body.
+            # Written by tornado, so that it expects no body in the answer.
             self._write_head(fields)
         else:
             head = self._render(fields)
@@ -63,13 +63,13 @@
             self._write_head(fields)
             return
         if not body.size:
-            # A request without a body would be whole with its head.
+            # A request without a body would be complete with its head.
             fields.drop('Content-Length')
             fields.add('Transfer-Encoding', 'chunked')
         self.connection.stream.write(self._render(fields))
 
     def go_on(self) -> None:
-        """Write what follows the head: from now on the request may run."""
+        """Write the rest; from now on the request may run."""
         body = self._order.body
         if body.streamed:
             self._writer = create_task(self._write_body())
@@ -79,7 +79,7 @@
         self._finish()
 
     def stop(self) -> None:
-        """Write no more."""
+        """Stop writing."""
         if self._writer is not None:
             self._writer.cancel()
 
--- a/hillfield/proxy/server.py
+++ b/hillfield/proxy/server.py
@@ -1,4 +1,4 @@
-"""Server that carries callers' requests to targets."""
+"""Server that forwards callers' requests to targets."""
 
 from asyncio import get_running_loop
 from typing import Final
@@ -21,10 +21,10 @@
 
 
 class ProxyServer:
-    """Accept callers and carry their requests to targets.
+    """Server that accepts callers and forwards their requests to targets.
 
-    Start it inside a running loop. `deliver` takes verdicts on queued
-    requests from whoever ticks the dispatchers' `poll`.
+    Start it inside a running loop. Pass the decisions that the dispatchers'
+    `poll` returns on queued requests to `deliver`.
     """
 
     def __init__(
@@ -36,7 +36,7 @@
         meter: RequestMeter | None = None,
         guard: CrashGuard | None = None,
     ) -> None:
-        """Prepare; nothing listens yet."""
+        """Initialize; nothing listens yet."""
         self.address = settings.address
         self._settings = settings
         self._context = ProxyContext(
@@ -53,7 +53,7 @@
         self._sweeper: Appointment | None = None
 
     def start(self) -> None:
-        """Listen; `address` then holds the port."""
+        """Start listening; `address` then contains the port."""
         self._acceptor = Acceptor(
             self._settings.address,
             self._connections.accept,
@@ -68,7 +68,7 @@
         head_seconds: float,
         idle_seconds: float,
     ) -> None:
-        """Bound what callers send from now on."""
+        """Set the limits for what callers send from now on."""
         self._context.settings = replace(
             self._context.settings,
             head_limit=head_bytes,
@@ -78,12 +78,12 @@
         )
 
     def deliver(self, verdicts: tuple[Verdict, ...]) -> None:
-        """Act on verdicts on queued requests."""
+        """Carry out decisions on queued requests."""
         for verdict in verdicts:
             self._context.deliver(verdict)
 
     def retire(self, target: TargetId) -> None:
-        """Close a leaving target's idle connections; none in use is cut."""
+        """Close a leaving target's idle connections; leave those in use."""
         self._context.pool.retire(target)
 
     def count_connections(self) -> int:
@@ -95,10 +95,10 @@
         return len(self._context.takers)
 
     async def drain(self) -> None:
-        """Stop accepting, finish all that is in flight, then stop.
+        """Stop accepting, finish all requests in flight, then stop.
 
-        Idle connections get a grace period in which a request that is on
-        its way is still served.
+        Idle connections get a grace period in which a request that was already
+        sent is still served.
         """
         self._stop_listening()
         self._context.draining = True
@@ -107,7 +107,7 @@
         self._context.pool.close()
 
     def abandon(self) -> None:
-        """End at once, as a crash does: all connections are reset."""
+        """Stop immediately, as in a crash: all connections are reset."""
         self._stop_listening()
         self._connections.abandon()
         self._stop_sweeping()
--- a/hillfield/proxy/settings.py
+++ b/hillfield/proxy/settings.py
@@ -8,22 +8,21 @@
 
 
 class ProxySettings(Struct, frozen=True):
-    """Say where callers are accepted and what bounds each of them.
+    """Address and limits of the request path.
 
-    Sizes are in bytes and times in seconds. Port 0 takes a free port. A
-    request body up to `held_body` is held whole, so that it can be sent
-    again; an answer body up to `held_answer` is held until it is whole.
-    `answer_hold` bounds how long an answer of unknown length is held,
-    `gate_port` is where the nodes beside the targets take requests for them
-    (None: targets are reached directly). Where `sign_after` is set, a request
-    that is not answered by then gets an interim answer as a sign of life;
-    where `sign_within` is set, one is expected of the other end. A connection
-    on which nothing has come for `hand_over_after` is doubtful: the head of a
-    request goes ahead of it there, and the rest follows when the other end has
-    asked for it (None: never). Of the requests of one connection,
-    `pipeline_depth` run side by side: callers that send further ones before the
-    first is answered send a few at once. The servers of a node share one
-    `budget` of bytes held.
+    Sizes are in bytes and times in seconds. Port 0 selects a free port. A
+    request body up to `held_body` is buffered completely, so that it can be
+    sent again; an answer body up to `held_answer` is buffered until it is
+    complete. `answer_hold` bounds how long an answer of unknown length is
+    buffered. `gate_port` is where the nodes beside the targets accept requests
+    for them (None: targets are reached directly). If `keepalive_after` is set,
+    a request not answered by then gets an interim answer as a keepalive; if
+    `keepalive_within` is set, one is expected of the other end. On a
+    connection on which nothing has arrived for `two_step_after`, a request is
+    written in two steps: its head first, and the rest once the other end asks
+    for it (None: never). Of the requests pipelined on one connection,
+    `pipeline_depth` run concurrently: callers that pipeline send a few at
+    once. The servers of a node share one `budget` of bytes held in memory.
     """
 
     address: Address
--- a/hillfield/proxy/signs.py
+++ b/hillfield/proxy/signs.py
@@ -1,4 +1,4 @@
-"""Signs of life of the node that a request was sent to."""
+"""Check for keepalives of the node that a request was sent to."""
 
 from collections.abc import Callable
 from functools import partial
@@ -14,14 +14,14 @@
 
 
 class StrayNoting(Protocol):
-    """Own a request."""
+    """Owner of a request."""
 
     def note_stray(self, error: Exception) -> None:
-        """Note an error that nobody expected."""
+        """Process an unexpected error."""
 
 
 class Attempting(Protocol):
-    """Be an attempt under way."""
+    """Attempt in flight."""
 
     send: Send
     ended: bool
@@ -30,13 +30,13 @@
 
     @property
     def owner(self) -> StrayNoting:
-        """Return who owns the request."""
+        """Return the owner of the request."""
 
     def end(self, observation: Observation) -> None:
-        """Note the end, once; the owner is told."""
+        """Report the first end of the attempt to the owner."""
 
     def cut(self) -> None:
-        """End the attempt now; the other end sees the connection close."""
+        """End the attempt by closing its connection to the other end."""
 
 
 def expect_sign(
@@ -44,9 +44,10 @@
     tools: AttemptTools,
     order: Order,
 ) -> Appointment | None:
-    """Look for a sign of life in time, where the other end sends them.
+    """Schedule a check for a keepalive, where the other end sends them.
 
-    Who ends the attempt cancels it: until then it holds all of the request.
+    The end of the attempt must cancel it: until then it references the
+    complete request.
     """
     within = tools.settings.sign_within
     if not within:
@@ -56,7 +57,7 @@
         partial(look_for_sign, attempt, tools, order),
         attempt.owner.note_stray,
     )
-    # Shared: most answers come before it, and need no wake-up then.
+    # On the shared timer: most answers arrive before, and need no wake-up.
     return find_timer().after(
         within,
         partial(_look_in_time, monotonic() + within, looking),
@@ -68,17 +69,17 @@
     tools: AttemptTools,
     order: Order,
 ) -> None:
-    """Leave a silent way alone; what may run again goes elsewhere at once.
+    """Stop using a silent connection; send repeatable work elsewhere at once.
 
-    Other work waits on once it has been handed over: it may run there, so it
-    must not run twice.
+    Other work keeps waiting once it has been written completely: it may run
+    there, and must not run twice.
     """
     if attempt.ended or attempt.answer.alive:
         return
     tools.pool.drop(attempt.send.target)
     held = attempt.written_at is None
     if not held:
-        # The end of what was held back says as much by itself.
+        # For an incomplete request, its end alone reports the silence.
         tools.dispatching.note_silent(monotonic(), attempt.send.attempt)
     repeatable = order.plan.idempotent and not order.body.streamed
     if held or repeatable:
@@ -87,7 +88,7 @@
 
 
 def _look_in_time(due: float, looking: Callable[[], None]) -> None:
-    """Look at once, or where the loop is late, once it has read."""
+    """Check now, or if the loop is late, after pending input is read."""
     if monotonic() - due > STEP + TOLERATED:
         run_when_read(looking)
     else:
--- a/hillfield/proxy/streams.py
+++ b/hillfield/proxy/streams.py
@@ -1,4 +1,4 @@
-"""Sockets of callers and targets as tornado streams."""
+"""Tornado streams for the sockets of callers and targets."""
 
 import socket
 import struct
@@ -18,22 +18,22 @@
 from hillfield.proxy.screening import screen_head
 from hillfield.proxy.settings import ProxySettings
 
-# What tornado's HTTP1Connection writes of its own accord when the body's
-# framing is wrong; callers get our failure answer in its place.
+# What tornado's HTTP1Connection writes by itself when the framing of a body is
+# wrong; callers get our failure answer instead.
 _TORNADO_REFUSAL: Final = b'HTTP/1.1 400 Bad Request\r\n\r\n'
 _RESET_AT_CLOSE: Final = struct.pack('ii', 1, 0)
 _BUFFERS: Final = 4
 
 
 class PromptStream(IOStream):
-    """Send small segments at once, always.
+    """Stream that always sends small segments immediately.
 
-    tornado's connections switch the option for each message, which would
-    cost four system calls a request.
+    Tornado's connections toggle TCP_NODELAY for each message, which would
+    cost four system calls per request.
     """
 
     def __init__(self, link: socket.socket, settings: ProxySettings) -> None:
-        """Take over a socket."""
+        """Start with a connected or unconnected socket."""
         super().__init__(
             link,
             max_buffer_size=_BUFFERS
@@ -45,20 +45,20 @@
             read_chunk_size=settings.part_size,
         )
         self.settings = settings
-        # Loop seconds at which its last exchange ended well.
+        # Loop seconds at which its last exchange ended without an error.
         self.proven_at = float('-inf')
         self.socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
     def set_nodelay(self, value: bool) -> None:  # noqa: WPS110 tornado's name
-        """Keep the option as it is."""
+        """Ignore the call: the option stays set."""
 
     @property
     def unread(self) -> int:
-        """Tell how many bytes have come that nobody has read."""
+        """Return how many received bytes have not been read."""
         return self._read_buffer_size
 
     def reset(self) -> None:
-        """Close so that the other end can't take what it has for whole."""
+        """Close with a reset, which shows the message to be incomplete."""
         if not self.closed():
             self.socket.setsockopt(
                 socket.SOL_SOCKET,
@@ -69,22 +69,22 @@
 
 
 class Refusing(Protocol):
-    """Own the requests of one caller's connection."""
+    """Owner of the requests of one caller's connection."""
 
     def refuse(self, failure: RequestFailure) -> bytes:
-        """Return the answer to write, or nothing when one has begun."""
+        """Return the answer to write, or nothing if one has begun."""
 
     def defer(self, answer: bytes) -> bool:
-        """Hold an answer back if others come before it; tell whether."""
+        """Queue a refusal behind earlier answers; return whether it was."""
 
 
 class CallerStream(PromptStream):
-    """Screen heads before tornado reads them, and end refusals gently.
+    """Check heads before tornado parses them, and end with a refusal safely.
 
-    A socket that is closed with unread bytes resets the connection, by
-    which the caller may lose the answer; so after a refusal the stream
-    reads on for a moment. `ending` tells that no further request is served,
-    `came` when the last head had come, in monotonic seconds.
+    Closing a socket with unread bytes resets the connection, and the caller
+    may lose the answer, so after a refusal the stream reads on for `linger`
+    seconds. `ending`: no further request is served; `head_received_at`: when
+    the last head had arrived, in monotonic seconds.
     """
 
     def __init__(
@@ -94,7 +94,7 @@
         owner: Refusing,
         intake: Intake,
     ) -> None:
-        """Take over an accepted socket."""
+        """Start with an accepted socket."""
         super().__init__(link, settings)
         self.came = monotonic()
         self.received = 0
@@ -111,15 +111,15 @@
         regex: bytes,
         max_bytes: int | None = None,
     ) -> bytes:
-        """Return a head that is free of ambiguity."""
+        """Return a head that has passed the strict check."""
         self.reading_head = True
         head = await super().read_until_regex(regex, max_bytes)
         self.reading_head = False
         self.came = monotonic()
         await self._intake.enter()
         if self.lingering or self.ending or self.closed():
-            # No answer could follow: what has come already must not run, its
-            # caller asks for it again.
+            # No answer could follow, so a request that has arrived already must
+            # not run; its caller will repeat it.
             raise StreamClosedError
         failure = screen_head(head, self.settings)
         if failure is None:
@@ -128,7 +128,7 @@
         raise StreamClosedError
 
     def write(self, chunk: bytes | memoryview) -> 'Future[None]':
-        """Write, with our own refusal in place of tornado's."""
+        """Write, replacing tornado's refusal by our own."""
         if chunk == _TORNADO_REFUSAL:
             flushed = self.refuse(
                 Fault.MALFORMED.failure('the framing of the body is wrong'),
@@ -139,7 +139,7 @@
         return super().write(chunk)
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
-        """Count what comes."""
+        """Count received bytes."""
         count = super().read_from_fd(buf)
         if count:
             self.received += count
@@ -147,13 +147,13 @@
         return count
 
     def write_to_fd(self, data: memoryview) -> int:  # noqa: WPS110 tornado's
-        """Count what goes."""
+        """Count written bytes."""
         count = super().write_to_fd(data)
         self.written += count
         return count
 
     def close(self, exc_info: Any = False) -> None:  # tornado's own type
-        """Close; after a refusal only once the caller has ended."""
+        """Close; after a refusal only once the caller has closed."""
         too_long = isinstance(exc_info, UnsatisfiableReadError)
         settled = self.lingering or self.ending
         if too_long and self.reading_head and not settled:
@@ -167,13 +167,13 @@
         super().close(exc_info)
 
     def reset(self) -> None:
-        """Close now, so that an answer in flight can't look whole."""
+        """Reset now, so that the caller sees an incomplete answer."""
         self.lingering = False
         self.ending = False
         super().reset()
 
     def refuse(self, failure: RequestFailure) -> 'Future[None]':
-        """Answer with a failure and end the connection."""
+        """Send a failure and end the connection."""
         answer = self._owner.refuse(failure)
         if answer and self._owner.defer(answer):
             self.ending = True
@@ -193,7 +193,7 @@
         flushed.add_done_callback(self._shut)
 
     async def drain(self) -> None:
-        """Read and drop until the connection has ended."""
+        """Read and discard until the connection has ended."""
         while not self.closed():
             try:
                 await self.read_bytes(self.settings.part_size, partial=True)
@@ -201,7 +201,7 @@
                 return
 
     def abandon(self) -> None:
-        """Close now."""
+        """Close without lingering."""
         self.lingering = False
         self.ending = False
         self.close()
--- a/hillfield/proxy/targetlinks.py
+++ b/hillfield/proxy/targetlinks.py
@@ -1,4 +1,4 @@
-"""Answers on a connection to a target."""
+"""Reading of answers on a connection to a target."""
 
 from typing import Final
 
@@ -16,7 +16,7 @@
 
 
 class AnswerReading(HTTPMessageDelegate):
-    """Take in what comes on a connection to a target."""
+    """Receiver of the answers on a connection to a target."""
 
     answer: IncomingAnswer
     ended: bool
@@ -43,9 +43,9 @@
     connection: HTTP1Connection,
     stream: PromptStream,
 ) -> None:
-    """Read answers up to the one that belongs to the present request.
+    """Read answers up to the one that belongs to the current request.
 
-    A target may send a second answer to an earlier request late.
+    A target may send a late second answer to an earlier request.
     """
     await connection.read_response(reading)
     while reading.answer.stray and not (reading.ended or stream.closed()):
--- a/hillfield/proxy/timeouts.py
+++ b/hillfield/proxy/timeouts.py
@@ -1,4 +1,4 @@
-"""Time-outs of one caller's connection."""
+"""Timeouts of one caller's connection."""
 
 from asyncio import get_running_loop
 
@@ -10,7 +10,7 @@
 
 
 class CallerTimeouts:
-    """End a connection that is late; times are in loop seconds."""
+    """End a connection that timed out; times are in loop seconds."""
 
     def __init__(
         self,
@@ -18,7 +18,7 @@
         context: ProxyContext,
         order: AnswerOrder,
     ) -> None:
-        """Start with nothing read."""
+        """Start before anything was read."""
         self._stream = stream
         self._context = context
         self._order = order
@@ -29,19 +29,19 @@
         self._written_before = 0
 
     def expect_head(self) -> None:
-        """Time a next request from now on."""
+        """Start the timeout of the next request's head."""
         self._waiting_since = get_running_loop().time()
         self._head_since = None
         self._received_before = self._stream.received - self._stream.unread
 
     def is_idle(self) -> bool:
-        """Tell whether nothing is asked, and no byte of a request has come."""
+        """Return whether no request is in progress or partly received."""
         if self._stream.writing() or self._order.is_busy():
             return False
         return self._is_reading() and self._awaits_first_byte()
 
     def sweep(self, now: float) -> None:
-        """End the connection if it is late."""
+        """End the connection if it timed out."""
         if self._stream.writing():
             self._sweep_writing(now)
             return
@@ -66,15 +66,15 @@
             if now - since > settings.idle_timeout and self.is_idle():
                 self._stream.close()
         elif self._head_since is None:
-            # It may be whole already, and be read in the next turn.
+            # It may be complete, and be read in the next pass of the loop.
             self._head_since = now
         elif now - self._head_since > settings.head_timeout:
             self._stream.refuse(
-                Fault.SLOW_REQUEST.failure('the head did not come'),
+                Fault.SLOW_REQUEST.failure('the head was not received in time'),
             )
 
     def _sweep_writing(self, now: float) -> None:
-        """End a connection whose caller has long stopped reading."""
+        """End a connection whose caller stopped reading long ago."""
         stream = self._stream
         if stream.written != self._written_before:
             self._written_before = stream.written
--- a/hillfield/proxy/tools.py
+++ b/hillfield/proxy/tools.py
@@ -1,4 +1,4 @@
-"""What all attempts of a request share."""
+"""Components that all attempts of a request share."""
 
 from msgspec import Struct
 from tornado.httputil import HTTPHeaders
@@ -11,7 +11,7 @@
 
 
 class AttemptTools(Struct, frozen=True):
-    """Hold what every attempt of a request works with."""
+    """Components that every attempt of a request uses."""
 
     pool: Pool
     settings: ProxySettings
@@ -19,9 +19,9 @@
 
 
 def note_head(tools: AttemptTools, send: Send, headers: HTTPHeaders) -> None:
-    """Note that the head of an attempt's answer has come, and what it tells.
+    """Record the head of an attempt's answer, and the capacity it reports.
 
-    What becomes of the attempt is decided with the room that it tells.
+    The decision on the attempt then uses the capacity reported with it.
     """
     now = monotonic()
     tools.dispatching.note_head(now, send.attempt)
--- a/hillfield/proxy/turns.py
+++ b/hillfield/proxy/turns.py
@@ -1,4 +1,4 @@
-"""Turn of one answer among those of its connection."""
+"""Slot of one answer among those of its connection."""
 
 from asyncio import Future, get_running_loop
 from collections.abc import Callable
@@ -11,14 +11,14 @@
 
 
 class Turn:
-    """Hold what an answer writes until those before it are written.
+    """Buffer what an answer writes until those before it are written.
 
-    `come` tells that nothing is held any more, `held` how many bytes wait,
-    `closing` that the connection ends behind the answer.
+    `is_open`: writes are no longer buffered; `held`: how many bytes are
+    buffered; `closing`: the connection ends after the answer.
     """
 
     def __init__(self, stream: CallerStream, order: AnswerOrder) -> None:
-        """Stay out of the order until the request has been read."""
+        """Start outside of the order, until the request has been read."""
         self.come = False
         self.held = 0
         self.closing = False
@@ -28,11 +28,11 @@
         self._waiter: Future[None] | None = None
 
     def join(self, leave: Callable[[], None]) -> None:
-        """Line up behind the requests read before; `leave` cancels this one."""
+        """Join the order behind earlier requests; `cancel` cancels this one."""
         self._order.join(self, leave)
 
     def take(self) -> None:
-        """Write what is held, and all that follows at once."""
+        """Write what is buffered, and all later parts immediately."""
         self.come = True
         steps = tuple(self._steps)
         self.drop()
@@ -40,7 +40,7 @@
             step()
 
     def run(self, step: Callable[[], object], size: int = 0) -> None:
-        """Write now or in the turn; `size` is in bytes."""
+        """Write now or once the slot is open; `size` is in bytes."""
         if self.come:
             step()
         else:
@@ -52,7 +52,7 @@
         step: Callable[[], 'Future[None]'],
         size: int,
     ) -> 'Future[None]':
-        """Write now or in the turn; the future bounds what is held."""
+        """Write now or once the slot is open; the future bounds the buffer."""
         if self.come:
             return step()
         self.run(step, size)
@@ -61,22 +61,22 @@
         return self._waiter
 
     def drop(self) -> None:
-        """Forget what is held."""
+        """Discard what is buffered."""
         self._steps.clear()
         self.held = 0
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(None)
 
     def end(self) -> None:
-        """Let the next answer out."""
+        """Open the slot of the next answer."""
         self._order.note_ended(self)
 
     def end_all(self) -> None:
-        """Cancel the requests behind: the connection ends here."""
+        """Cancel the requests behind this one: the connection ends."""
         self._order.leave()
 
     async def wait(self) -> bool:
-        """Wait until all answers before are written; False: never will be."""
+        """Wait until earlier answers are written; False: they never will be."""
         stream = self._stream
         stream.set_close_callback(self._order.wake)
         while not (self.come or _is_over(stream)):
@@ -90,22 +90,22 @@
 
 
 class LastTurn:
-    """Be the refusal that ends a connection, behind other answers."""
+    """Slot of a refusal that ends a connection, behind other answers."""
 
     def __init__(self, stream: CallerStream, answer: bytes) -> None:
-        """Hold the refusal until its turn."""
+        """Buffer the refusal until its slot is opened."""
         self.held = len(answer)
         self.closing = True
         self._stream = stream
         self._answer = answer
 
     def take(self) -> None:
-        """Write it, and end the connection."""
+        """Write the refusal, and end the connection."""
         if not self._stream.closed():
             self._stream.linger(self._stream.write(self._answer))
 
     def leave(self) -> None:
-        """Cancel nothing: nothing runs. What was written still goes out."""
+        """Do nothing: no request runs, and what was written is still sent."""
 
 
 def _is_over(stream: CallerStream) -> bool:
--- a/hillfield/proxy/unread.py
+++ b/hillfield/proxy/unread.py
@@ -1,4 +1,4 @@
-"""Headers of targets' answers that there is no word for."""
+"""Headers of targets' answers that are not known."""
 
 from collections.abc import Callable
 from typing import Final
@@ -7,10 +7,10 @@
 
 from hillfield.events import EventCode, Journal, Occurrence
 
-# Names that are told apart: each is a series of the metrics and a log line.
+# Names that are counted separately: each is a metric series and a log line.
 NAMES_TOLD: Final = 16
 OTHERS: Final = 'others'
-# Those of the field's standards, in the case to which tornado normalises them.
+# Standard HTTP headers, in tornado's normalized case.
 STANDARD: Final = frozenset(
     (
         'Age',
@@ -38,11 +38,10 @@
 
 
 class UnreadHeaders:
-    """Count them by name, and tell of each name once.
+    """Counts of unknown headers by name; each name is logged once.
 
-    A word of a target about itself that nobody reads looks like any other
-    header that is passed on; here it shows.
-    """
+    A header by which a target reports something about itself would otherwise
+    go unnoticed among the others that are forwarded."""
 
     def __init__(
         self,
@@ -50,14 +49,14 @@
         journal: Journal,
         counter: Callable[[str], None],
     ) -> None:
-        """Start without any; `counter` is told a name at each answer."""
+        """Start without names; `counter` gets each unknown name of an answer."""
         self._known = STANDARD | known
         self._journal = journal
         self._counter = counter
         self._told: set[str] = set()
 
     def note(self, headers: HTTPHeaders) -> None:
-        """Look at the headers of an answer."""
+        """Count the unknown headers of an answer."""
         for name in headers.keys():
             if name not in self._known:
                 self._count(name)
--- a/hillfield/proxy/wakes.py
+++ b/hillfield/proxy/wakes.py
@@ -1,4 +1,4 @@
-"""Polls of dispatchers at the times that they name."""
+"""Timers that poll dispatchers when they are due."""
 
 from asyncio import TimerHandle, get_running_loop
 from collections.abc import Callable
@@ -7,24 +7,24 @@
 from hillfield.clocks import monotonic
 from hillfield.routing.ports import Dispatching
 
-# Bounds how often a dispatcher is polled that names a time gone by.
+# Seconds; bounds how often a dispatcher is polled whose due time has passed.
 _SHORTEST: Final = 0.001
 
 
 class Wakes:
-    """Keep one timer for each dispatcher with requests that wait.
+    """One timer for each dispatcher with requests that wait.
 
-    Without it what waits for the end of a pause would wait for the next
-    attempt to end, or for the next tick of 0.1 s.
+    Without it a request that waits for the end of a back-off would wait for the
+    next attempt to end, or for the next tick of 0.1 s.
     """
 
     def __init__(self, poll: Callable[[Dispatching], None]) -> None:
-        """Start without timers; `poll` follows the dispatcher again."""
+        """Start without timers; `poll` schedules the dispatcher again."""
         self._poll = poll
         self._timers: dict[int, tuple[float, TimerHandle]] = {}
 
     def follow(self, dispatching: Dispatching) -> None:
-        """Poll the dispatcher when it is due next."""
+        """Schedule a poll for when the dispatcher is due next."""
         due = dispatching.next_due()
         if due is None:
             return
--- a/hillfield/proxy/writing.py
+++ b/hillfield/proxy/writing.py
@@ -1,4 +1,4 @@
-"""Bytes of one answer, written when it is its turn."""
+"""Writing of one answer once its slot is open."""
 
 from asyncio import Future
 from typing import Final
@@ -17,10 +17,10 @@
 class AnswerWriter:
     """Write one answer, and end its connection if it is the last.
 
-    `request_read` tells that the request has been read to its end, `chunked`
-    that the answer goes out in chunks, `early` that the request runs beside
-    others of its connection, so that tornado's part in it has ended, `holder`
-    counts what is held for it.
+    `request_read`: the request has been read to its end; `chunked`: the answer
+    is sent in chunks; `concurrent`: the request runs concurrently with others
+    of its connection, so tornado's handling of it has ended; `holder` counts
+    the bytes held in memory for it.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         stream: CallerStream,
         turn: Turn,
     ) -> None:
-        """Prepare; nothing is written yet."""
+        """Initialize; nothing is written yet."""
         self.connection = connection
         self.request_read = False
         self.chunked = False
@@ -39,7 +39,7 @@
         self._turn = turn
 
     def note_read(self) -> None:
-        """Note the request's end; the next may be read now if it is early."""
+        """Record the request's end; if concurrent, the next may be read now."""
         self.request_read = True
         if self.early:
             self.connection.finish()
@@ -50,7 +50,7 @@
         fields: Fields,
         body: bytes,
     ) -> None:
-        """Write an answer that is held whole."""
+        """Write an answer that is complete in memory."""
         self._add_close(fields)
         if self._stream.closed():
             return
@@ -63,7 +63,7 @@
         fields: Fields,
         part: bytes,
     ) -> 'Future[None]':
-        """Begin an answer of which more follows."""
+        """Write the head and first part of an answer."""
         self._add_close(fields)
         head = fields.to_headers()
         return self._follow(
@@ -76,7 +76,7 @@
         return self._follow(self.connection.write(part), len(part))
 
     def end(self) -> None:
-        """End a whole answer, and let the next one out."""
+        """End a complete answer, and open the slot of the next one."""
         if self._is_last():
             self._end_connection()
         elif not self.early:
@@ -89,9 +89,9 @@
     def cut(self) -> None:
         """End the connection within the answer.
 
-        A reset would also take back what the caller has not read yet of the
-        answers before; the end of a connection shows as well that an answer
-        with a length, or in chunks, is not whole.
+        A reset could also discard earlier answers that the caller has not read
+        yet. The end of a connection also shows that an answer with a length, or
+        in chunks, is incomplete.
         """
         if not self.early:
             self._stream.reset()
@@ -100,14 +100,14 @@
         self._turn.end_all()
 
     def _follow(self, written: 'Future[None]', size: int) -> 'Future[None]':
-        """Count what has gone out as held no more."""
+        """Release the bytes of a part once it has been written."""
         if self.holder is not None:
             drop = self.holder.drop_answer
             written.add_done_callback(lambda _: drop(size))
         return written
 
     def _release(self) -> None:
-        """Count nothing as held once all has gone out, or never will."""
+        """Release all held bytes once they are written, or never will be."""
         if self.holder is None:
             return
         if self._stream.closed() or not self._stream.writing():
@@ -117,9 +117,9 @@
         self._stream.write(b'').add_done_callback(lambda _: release())
 
     def _end_connection(self) -> None:
-        """End it without a reset by an unread rest of the request.
+        """End the connection without a reset due to unread request bytes.
 
-        That could take the answer back before the caller has it.
+        A reset could discard the answer before the caller has read it.
         """
         if not self._stream.closed():
             last = _LAST_CHUNK if self.chunked else b''
