--- a/hillfield/proxy/answers.py
+++ b/hillfield/proxy/answers.py
@@ -79,7 +79,7 @@
     return ResponseStartLine('HTTP/1.1', status, reason_of(status))
 
 
-def render_whole(failure: RequestFailure, request: str = '') -> bytes:
+def render_message(failure: RequestFailure, request: str = '') -> bytes:
     """Return the bytes of a failure answer that ends its connection."""
     body = render_body(failure, request)
     fields = list_fields(failure, request, len(body))
--- a/hillfield/proxy/attempts.py
+++ b/hillfield/proxy/attempts.py
@@ -16,24 +16,24 @@
 from hillfield.proxy.guards import run_guarded
 from hillfield.proxy.handover import Handover
 from hillfield.proxy.incoming import IncomingAnswer
-from hillfield.proxy.notices import read_kept
-from hillfield.proxy.orders import Order
+from hillfield.proxy.notices import read_keep_alive
+from hillfield.proxy.plannedrequests import PlannedRequest
 from hillfield.proxy.replies import Reply
-from hillfield.proxy.targetlinks import read_answer
-from hillfield.proxy.tools import AttemptTools, note_head
+from hillfield.proxy.resources import AttemptResources, record_answer_head
+from hillfield.proxy.targetconnections import read_answer
 from hillfield.routing.requests import ConnectFailed, Observation, Send
 
 
 class AttemptOwner(Protocol):
     """Owner of the attempts of one request."""
 
-    def note_overflow(self, attempt: 'Attempt') -> Awaitable[None] | None:
+    def handle_overflow(self, attempt: 'Attempt') -> Awaitable[None] | None:
         """Forward an answer that exceeds the buffer limit, or reject it."""
 
-    def note_ended(self, attempt: 'Attempt', observation: Observation) -> None:
+    def handle_end(self, attempt: 'Attempt', observation: Observation) -> None:
         """Process the end of the attempt."""
 
-    def note_stray(self, error: Exception) -> None:
+    def handle_error(self, error: Exception) -> None:
         """Process an unexpected error."""
 
 
@@ -49,41 +49,41 @@
     def __init__(
         self,
         send: Send,
-        order: Order,
-        tools: AttemptTools,
+        planned: PlannedRequest,
+        resources: AttemptResources,
         owner: AttemptOwner,
     ) -> None:
         """Prepare the attempt; nothing is sent yet."""
-        super().__init__(send, order, tools)
+        super().__init__(send, planned, resources)
         self.reported = False
-        self.relay: Reply | None = None
+        self.reply: Reply | None = None
         self.answer = IncomingAnswer(
-            order.plan.checks,
-            order.start_line.method,
-            tools.settings.targets,
-            order.passage.request,
+            planned.plan.checks,
+            planned.start_line.method,
+            resources.settings.targets,
+            planned.forwarding.request,
         )
         self.owner = owner
 
     def begin(self) -> None:
         """Send immediately if a connection is idle; else `run` connects."""
-        stream = self._tools.pool.reuse(self.send.target)
+        stream = self._resources.pool.reuse(self.send.target)
         if stream is not None:
-            self.hand_over(stream)
+            self.write_to(stream)
 
     async def run(self) -> None:
         """Run the attempt; its end is reported to the owner once."""
         try:
             await self._run()
         except Exception as error:
-            self.cut()
-            self.owner.note_stray(error)
+            self.abort()
+            self.owner.handle_error(error)
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End the attempt by closing its connection to the target."""
-        self._order.holder.drop_answer(len(self.answer.held))
+        self._planned.holder.drop_answer(len(self.answer.held))
         self.answer.held.clear()
-        super().cut()
+        super().abort()
 
     def headers_received(
         self,
@@ -93,51 +93,51 @@
         """Receive the head of an answer, interim or final."""
         if self.ended or not isinstance(start_line, ResponseStartLine):
             return
-        if self.answer.take_head(start_line, headers):
-            note_head(self._tools, self.send, headers)
+        if self.answer.receive_head(start_line, headers):
+            record_answer_head(self._resources, self.send, headers)
             if not self.answer.has_length():
                 self._hold(expired=False)
         elif start_line.code == HTTPStatus.CONTINUE:
-            self.go_on()
+            self.send_rest()
 
     def data_received(self, chunk: bytes) -> Awaitable[None] | None:
         """Receive a part of the body."""
-        if self.relay is not None:
-            self._order.holder.add_answer(len(chunk))
-            return self.relay.write_part(chunk)
-        if self.ended or self.answer.stray:
+        if self.reply is not None:
+            self._planned.holder.add_answer(len(chunk))
+            return self.reply.write_part(chunk)
+        if self.ended or self.answer.stale:
             return None
         self.answer.held += chunk
-        self._order.holder.add_answer(len(chunk))
-        if len(self.answer.held) <= self._tools.settings.held_answer:
+        self._planned.holder.add_answer(len(chunk))
+        if len(self.answer.held) <= self._resources.settings.held_answer:
             return None
-        return self.owner.note_overflow(self)
+        return self.owner.handle_overflow(self)
 
     def finish(self) -> None:
         """Receive the end of the answer."""
-        if self.answer.stray:
+        if self.answer.stale:
             return
         if self._stream is not None and self._stream.error is not None:
             detail = str(self._stream.error)
-            self.end(self.answer.judge_broken(detail))
+            self.end(self.answer.observe_broken(detail))
         else:
-            self.end(self.answer.judge_whole())
+            self.end(self.answer.observe_complete())
 
     def end(self, observation: Observation) -> None:
         """Report the first end of the attempt to the owner."""
         if self.ended:
             return
         self.ended = True
-        self.expect_nothing()
+        self.cancel_keepalive_check()
         sender = self._sender
         if self._stream is not None and sender and not sender.sent:
             # The request is only written in part: the target would read
             # anything that follows on this connection as the rest of it.
             self._stream.close()
         try:
-            self.owner.note_ended(self, self.correct(observation))
+            self.owner.handle_end(self, self.correct_observation(observation))
         except Exception as error:
-            self.owner.note_stray(error)
+            self.owner.handle_error(error)
 
     async def _run(self) -> None:
         if self._stream is None and not self.ended:
@@ -149,33 +149,33 @@
         try:
             await read_answer(self, sender.connection, stream)
         except (StreamClosedError, UnsatisfiableReadError) as error:
-            self.end(self.answer.judge_broken(str(error)))
-        self.end(self.answer.judge_broken('answer is malformed'))
+            self.end(self.answer.observe_broken(str(error)))
+        self.end(self.answer.observe_broken('answer is malformed'))
         sender.stop()
         if sender.sent and self.answer.allows_reuse():
-            kept = read_kept(self.answer.headers)
-            self._tools.pool.release(self.send.target, stream, kept)
+            keep_alive = read_keep_alive(self.answer.headers)
+            self._resources.pool.release(self.send.target, stream, keep_alive)
         else:
             stream.close()
 
     async def _connect(self) -> None:
-        connected = await self._tools.pool.connect(self.send.address)
+        connected = await self._resources.pool.connect(self.send.address)
         if connected.is_error():
             self.end(ConnectFailed(connected.error))
         elif self.ended:
-            self._tools.pool.release(self.send.target, connected.ok)
+            self._resources.pool.release(self.send.target, connected.ok)
         else:
-            self.hand_over(connected.ok)
+            self.write_to(connected.ok)
 
     def _hold(self, expired: bool) -> None:
-        if self.ended or self.relay is not None:
+        if self.ended or self.reply is not None:
             return
-        if expired and self.answer.is_decidable():
-            self.owner.note_overflow(self)
+        if expired and self.answer.can_be_checked():
+            self.owner.handle_overflow(self)
             return
         get_running_loop().call_later(
-            self._tools.settings.answer_hold,
+            self._resources.settings.answer_hold,
             run_guarded,
             partial(self._hold, expired=True),
-            self.owner.note_stray,
+            self.owner.handle_error,
         )
--- a/hillfield/proxy/callers.py
+++ b/hillfield/proxy/callers.py
@@ -11,15 +11,15 @@
 from tornado.iostream import StreamClosedError, UnsatisfiableReadError
 
 from hillfield.model import RequestFailure
-from hillfield.proxy.answers import render_whole
+from hillfield.proxy.answers import render_message
 from hillfield.proxy.context import ProxyContext
-from hillfield.proxy.failures import Fault, describe_stray
+from hillfield.proxy.failures import Fault, describe_unexpected
 from hillfield.proxy.ordering import AnswerOrder
 from hillfield.proxy.replies import Reply
 from hillfield.proxy.requests import IncomingRequest
+from hillfield.proxy.slots import RefusalSlot, ResponseSlot
 from hillfield.proxy.streams import CallerStream
 from hillfield.proxy.timeouts import CallerTimeouts
-from hillfield.proxy.turns import LastTurn, Turn
 
 _LARGEST_BODY: Final = 1_000_000_000_000
 
@@ -27,10 +27,10 @@
 class CallerConnection:
     """Server of the requests of one connection, in their order."""
 
-    def __init__(self, link: socket.socket, context: ProxyContext) -> None:
+    def __init__(self, sock: socket.socket, context: ProxyContext) -> None:
         """Start with an accepted socket."""
         self.stream = CallerStream(
-            link,
+            sock,
             context.settings,
             self,
             context.intake,
@@ -55,10 +55,10 @@
         except (StreamClosedError, UnsatisfiableReadError):
             await self.stream.drain()
         except Exception as error:
-            self._context.record_failure(describe_stray(error))
+            self._context.record_failure(describe_unexpected(error))
         finally:
             self.stream.abandon()
-            self._order.leave()
+            self._order.cancel_all()
 
     async def refuse_connection(self) -> None:
         """Refuse the connection unread: the limit of connections is reached."""
@@ -73,19 +73,21 @@
 
     def refuse(self, failure: RequestFailure) -> bytes:
         """Return the answer to a malformed message."""
-        told: RequestFailure | None = failure
+        answer: RequestFailure | None = failure
         if self._incoming is not None:
-            told = self._incoming.refuse(failure)
+            answer = self._incoming.refuse(failure)
         self._context.record_failure(failure)
-        return b'' if told is None else render_whole(told)
+        return b'' if answer is None else render_message(answer)
 
     def defer(self, answer: bytes) -> bool:
         """Queue a refusal behind earlier answers; return whether it was."""
-        told = self._incoming is not None and self._incoming.reply.turn.come
-        if told or not self._order.is_busy():
+        answering = (
+            self._incoming is not None and self._incoming.reply.slot.is_open
+        )
+        if answering or not self._order.is_busy():
             return False
-        last = LastTurn(self.stream, answer)
-        self._order.join(last, last.leave)
+        last = RefusalSlot(self.stream, answer)
+        self._order.join(last, last.cancel)
         return True
 
     def close_after_answer(self) -> None:
@@ -93,7 +95,7 @@
         if self._order.close_after_last():
             self.stream.ending = True
         elif self._incoming is not None:
-            self._incoming.reply.turn.closing = True
+            self._incoming.reply.slot.closing = True
 
     def is_idle(self) -> bool:
         """Return whether no request is in progress or partly received."""
@@ -106,7 +108,7 @@
     async def _serve(self) -> None:
         serving = True
         while serving:
-            await self._wait_for_room()
+            await self._wait_until_accepting()
             connection = HTTP1Connection(
                 self.stream,
                 is_client=False,
@@ -116,17 +118,17 @@
                 connection,
                 self.stream,
                 self._context.settings.callers,
-                Turn(self.stream, self._order),
+                ResponseSlot(self.stream, self._order),
             )
             self._incoming = IncomingRequest(self._context, reply)
             self._timeouts.expect_head()
             serving = await connection.read_response(self._incoming)
         await self.stream.drain()
 
-    async def _wait_for_room(self) -> None:
+    async def _wait_until_accepting(self) -> None:
         """Wait until pipelined requests and answers are within their limits."""
         stream = self.stream
-        while not (self._order.has_room() or stream.closed()):
+        while not (self._order.accepts_more() or stream.closed()):
             stream.set_close_callback(self._order.wake)
             await self._order.wait()
             stream.set_close_callback(None)
--- a/hillfield/proxy/checks.py
+++ b/hillfield/proxy/checks.py
@@ -3,16 +3,16 @@
 from hillfield.model import AnswerChecks
 
 
-def find_wrong_head(
+def check_head(
     checks: AnswerChecks,
     status: int,
     has_header: bool,
 ) -> str:
     """Return why the answer's head is wrong, or an empty string.
 
-    >>> find_wrong_head(AnswerChecks(), 500, has_header=True)
+    >>> check_head(AnswerChecks(), 500, has_header=True)
     'status 500'
-    >>> find_wrong_head(AnswerChecks(), 200, has_header=True)
+    >>> check_head(AnswerChecks(), 200, has_header=True)
     ''
     """
     if status in checks.wrong_statuses:
@@ -22,7 +22,7 @@
     return ''
 
 
-def find_wrong_body(
+def check_body(
     checks: AnswerChecks,
     part: bytes,
     size: int | None,
@@ -32,9 +32,9 @@
     `size` is that of the complete body; None if it isn't known yet.
 
     >>> checks = AnswerChecks(minimum_length=3, required_prefix=b'ab')
-    >>> find_wrong_body(checks, b'ab', 2)
+    >>> check_body(checks, b'ab', 2)
     'body of 2 bytes'
-    >>> find_wrong_body(checks, b'xyz', None)
+    >>> check_body(checks, b'xyz', None)
     'body starts otherwise'
     """
     if size is not None and size < checks.minimum_length:
--- a/hillfield/proxy/connections.py
+++ b/hillfield/proxy/connections.py
@@ -14,10 +14,10 @@
 from hillfield.proxy.callers import CallerConnection
 from hillfield.proxy.context import ProxyContext
 
-_REFUSALS_AT_ONCE: Final = 64
+_MAX_REFUSALS: Final = 64
 # Seconds to send the answers to requests that could not be finished: after an
 # immediate reset their callers would get no answer.
-_LAST_WORDS: Final = 0.1
+_FINAL_ANSWER_SECONDS: Final = 0.1
 
 
 class CallerConnections:
@@ -29,14 +29,14 @@
         self._context = context
         self._empty = Event()
 
-    def accept(self, link: socket.socket) -> None:
+    def accept(self, sock: socket.socket) -> None:
         """Serve a connection, or refuse it when there are too many."""
         count = len(self.tasks)
         limit = self._context.settings.connection_limit
-        if count >= limit + _REFUSALS_AT_ONCE:
-            link.close()
+        if count >= limit + _MAX_REFUSALS:
+            sock.close()
             return
-        connection = CallerConnection(link, self._context)
+        connection = CallerConnection(sock, self._context)
         if count >= limit:
             task = create_task(connection.refuse_connection())
         else:
@@ -67,7 +67,7 @@
                 await self._wait_until_empty()
         except TimeoutError:
             self._context.expire_all()
-            await sleep(_LAST_WORDS)
+            await sleep(_FINAL_ANSWER_SECONDS)
             self.abandon()
         idle_timer.cancel()
 
--- a/hillfield/proxy/context.py
+++ b/hillfield/proxy/context.py
@@ -9,24 +9,24 @@
 from hillfield.proxy.guards import run_guarded
 from hillfield.proxy.intake import Intake
 from hillfield.proxy.meters import RequestMeter
+from hillfield.proxy.polltimers import PollTimers
 from hillfield.proxy.pool import Pool
 from hillfield.proxy.ports import CrashGuard, PlanSource
 from hillfield.proxy.settings import ProxySettings
-from hillfield.proxy.wakes import Wakes
 from hillfield.routing.ports import Dispatchers, Dispatching
 from hillfield.routing.requests import CallerGone, Send, Verdict
 
 
-class VerdictTaking(Protocol):
+class RequestOwner(Protocol):
     """Owner of a request that may be queued."""
 
-    def take(self, verdict: Verdict) -> None:
+    def apply(self, decision: Verdict) -> None:
         """Carry out a decision of the dispatcher."""
 
     def expire(self) -> None:
         """End the request at its deadline and answer its caller."""
 
-    def note_stray(self, error: Exception) -> None:
+    def handle_error(self, error: Exception) -> None:
         """End the request after an unexpected error."""
 
 
@@ -52,35 +52,35 @@
         self.pool = Pool(settings)
         self.intake = Intake()
         self.draining = False
-        self.takers: dict[str, VerdictTaking] = {}
-        self.wakes = Wakes(self.poll)
+        self.in_flight: dict[str, RequestOwner] = {}
+        self.poll_timers = PollTimers(self.poll)
 
     def poll(self, dispatching: Dispatching) -> None:
         """Carry out decisions on queued requests after an attempt has ended."""
-        for verdict in dispatching.poll(monotonic()):
-            self.deliver(verdict)
-        self.wakes.follow(dispatching)
+        for decision in dispatching.poll(monotonic()):
+            self.deliver(decision)
+        self.poll_timers.schedule(dispatching)
 
-    def deliver(self, verdict: Verdict) -> None:
+    def deliver(self, decision: Verdict) -> None:
         """Pass a decision to the request that it is for."""
-        taker = self.takers.get(verdict.request)
-        if taker is not None:
-            run_guarded(partial(taker.take, verdict), taker.note_stray)
-        elif isinstance(verdict, Send):
-            dispatching = self.dispatchers.for_service(verdict.target.service)
-            dispatching.finish(monotonic(), verdict.attempt, CallerGone())
+        owner = self.in_flight.get(decision.request)
+        if owner is not None:
+            run_guarded(partial(owner.apply, decision), owner.handle_error)
+        elif isinstance(decision, Send):
+            dispatching = self.dispatchers.for_service(decision.target.service)
+            dispatching.finish(monotonic(), decision.attempt, CallerGone())
 
     def expire_all(self) -> None:
         """End all requests now, each with a failure answer of its own."""
-        for taker in tuple(self.takers.values()):
-            run_guarded(taker.expire, taker.note_stray)
+        for owner in tuple(self.in_flight.values()):
+            run_guarded(owner.expire, owner.handle_error)
 
     def record_failure(
         self,
         failure: RequestFailure,
         request: str = '',
         service: str = '',
-        course: str = '',
+        summary: str = '',
     ) -> None:
         """Log a failure answer; deciding components have logged their own.
 
@@ -97,6 +97,6 @@
                 request=request,
                 peer=failure.peer,
                 step=failure.step.value,
-                detail='; '.join(filter(None, (failure.detail, course))),
+                detail='; '.join(filter(None, (failure.detail, summary))),
             ),
         )
--- a/hillfield/proxy/dialects.py
+++ b/hillfield/proxy/dialects.py
@@ -167,6 +167,6 @@
     >>> read_retry_after(HTTPHeaders({'Retry-After': 'Fri, 31 Dec 1999'}))
     """
     text = headers.get('Retry-After', '')
-    whole, _, fraction = text.partition('.')
-    digits = whole + fraction
+    integer, _, fraction = text.partition('.')
+    digits = integer + fraction
     return float(text) if digits.isascii() and digits.isdigit() else None
--- a/hillfield/proxy/exchanges.py
+++ b/hillfield/proxy/exchanges.py
@@ -8,14 +8,14 @@
 from hillfield.model import RequestFailure
 from hillfield.proxy.attempts import Attempt
 from hillfield.proxy.context import ProxyContext
-from hillfield.proxy.courses import Course
 from hillfield.proxy.deadlines import Deadline
-from hillfield.proxy.failures import Fault, describe_stray
+from hillfield.proxy.failures import Fault, describe_unexpected
+from hillfield.proxy.forwarding import AnswerForwarder
 from hillfield.proxy.guards import run_guarded
-from hillfield.proxy.orders import Order
-from hillfield.proxy.relays import Relay
+from hillfield.proxy.plannedrequests import PlannedRequest
 from hillfield.proxy.replies import Reply
 from hillfield.proxy.running import RunningAttempts
+from hillfield.proxy.summaries import AttemptSummary
 from hillfield.routing.ports import Dispatching
 from hillfield.routing.requests import (
     Answered,
@@ -31,7 +31,7 @@
 from hillfield.timers import Appointment, find_timer
 
 # Seconds in the Retry-After of a request that was not sent before its deadline.
-_COME_BACK: Final = 1.0
+_RETRY_AFTER: Final = 1.0
 
 
 class Exchange:
@@ -40,7 +40,7 @@
     def __init__(
         self,
         context: ProxyContext,
-        order: Order,
+        planned: PlannedRequest,
         reply: Reply,
     ) -> None:
         """Start the deadline timer; the request may still be arriving."""
@@ -48,76 +48,79 @@
         self._started_at = float()
         self.closed = False
         self._context = context
-        self._order = order
-        course = Course(monotonic())
-        self._relay = Relay(context, order, reply, course)
+        self._planned = planned
+        summary = AttemptSummary(monotonic())
+        self._forwarder = AnswerForwarder(context, planned, reply, summary)
         self._dispatching: Dispatching = context.dispatchers.for_service(
-            order.plan.service,
+            planned.plan.service,
         )
         self._running = RunningAttempts(
             context,
-            order,
+            planned,
             self._dispatching,
-            course,
+            summary,
         )
-        self._fallback: Attempt | None = None
-        self._sign: Appointment | None = None
+        self._final_attempt: Attempt | None = None
+        self._keepalive: Appointment | None = None
         self._deadline = Deadline(
-            order.expires,
-            partial(run_guarded, self.expire, self.note_stray),
+            planned.expires,
+            partial(run_guarded, self.expire, self.handle_error),
         )
 
     def start(self, replayable: bool) -> None:
         """Ask for admission; `replayable`: the complete body is in memory."""
         self.started = True
         self._started_at = monotonic()
-        request = self._order.passage.key
-        fingerprint = self._running.identify()
+        request = self._planned.forwarding.key
+        fingerprint = self._running.compute_fingerprint()
         refusal = self._running.find_refusal()
         if refusal is not None:
             self.fail(refusal)
             return
-        self._context.takers[request] = self
-        sign_after = self._context.settings.sign_after
-        if sign_after:
-            self._sign = find_timer().after(sign_after, self._relay.send_sign)
-        self.take(
+        self._context.in_flight[request] = self
+        delay = self._context.settings.sign_after
+        if delay:
+            self._keepalive = find_timer().after(
+                delay,
+                self._forwarder.send_keepalive,
+            )
+        self.apply(
             self._dispatching.admit(
                 monotonic(),
                 Arrival(
                     request,
-                    self._order.plan,
-                    self._order.expires,
+                    self._planned.plan,
+                    self._planned.expires,
                     replayable,
                     fingerprint,
                 ),
             ),
         )
 
-    def take(self, verdict: Verdict) -> None:
+    def apply(self, decision: Verdict) -> None:
         """Carry out a decision of the dispatcher."""
-        match verdict:
+        match decision:
             case Send() if self.closed:
                 now = monotonic()
-                self._dispatching.finish(now, verdict.attempt, CallerGone())
+                self._dispatching.finish(now, decision.attempt, CallerGone())
             case Send():
-                refusal = self._running.launch(verdict, self)
+                refusal = self._running.launch(decision, self)
                 if refusal is not None:
                     self.fail(refusal)
             case Wait():
-                self._context.wakes.follow(self._dispatching)
+                self._context.poll_timers.schedule(self._dispatching)
             case Refuse():
-                self.fail(verdict.failure)
+                self.fail(decision.failure)
             case Done() if not self._running.attempts:
-                self._settle()
+                self._send_answer()
 
-    def leave(self) -> None:
+    def cancel(self) -> None:
         """Cancel the request after its caller closed the connection."""
         if self.closed:
             return
-        self._relay.record_leaving()
+        self._forwarder.record_caller_gone()
         if self.started and not self._running.attempts:
-            self._dispatching.leave(monotonic(), self._order.passage.key)
+            self._dispatching.leave(monotonic(), self._planned.forwarding.key)
         self._close()
 
     def fail(self, failure: RequestFailure) -> None:
@@ -125,35 +128,35 @@
         if self.closed:
             return
         self._close()
-        self._relay.fail(failure)
+        self._forwarder.fail(failure)
 
-    def note_overflow(self, attempt: Attempt) -> Awaitable[None] | None:
+    def handle_overflow(self, attempt: Attempt) -> Awaitable[None] | None:
         """Forward an answer that exceeds the buffer limit, or reject it."""
-        observation = attempt.answer.judge_part()
+        observation = attempt.answer.observe_partial()
         if observation is None:
-            return self._begin_relay(attempt)
+            return self._begin_forwarding(attempt)
         attempt.reported = True
-        verdict = self._running.finish(attempt, observation)
-        if isinstance(verdict, Done) and isinstance(observation, Answered):
-            return self._begin_relay(attempt)
-        attempt.cut()
-        self.take(verdict)
+        decision = self._running.finish(attempt, observation)
+        if isinstance(decision, Done) and isinstance(observation, Answered):
+            return self._begin_forwarding(attempt)
+        attempt.abort()
+        self.apply(decision)
         return None
 
-    def note_ended(self, attempt: Attempt, observation: Observation) -> None:
+    def handle_end(self, attempt: Attempt, observation: Observation) -> None:
         """Process the end of an attempt."""
-        verdict: Verdict = Done(self._order.passage.key)
+        decision: Verdict = Done(self._planned.forwarding.key)
         if not attempt.reported:
-            verdict = self._running.finish(attempt, observation)
-        if attempt.answer.relaying:
+            decision = self._running.finish(attempt, observation)
+        if attempt.answer.is_forwarded:
             self._close()
-            self._relay.end(observation)
-        elif is_last_word(self._order, observation, verdict):
-            self._fallback = attempt
+            self._forwarder.end(observation)
+        elif is_final_answer(self._planned, observation, decision):
+            self._final_attempt = attempt
             if not (_is_wrong(observation) and self._running.attempts):
-                self._settle()
+                self._send_answer()
         else:
-            self.take(verdict)
+            self.apply(decision)
         self._context.poll(self._dispatching)
 
     def expire(self) -> None:
@@ -166,50 +169,50 @@
             )
             return
         if not self._running.attempts:
-            self._dispatching.leave(monotonic(), self._order.passage.key)
+            self._dispatching.leave(monotonic(), self._planned.forwarding.key)
         refusal = self._running.expire()
         if refusal is None:
             refusal = _find_deadline_failure(self._running.may_have_run)
         self.fail(refusal)
 
-    def note_stray(self, error: Exception) -> None:
+    def handle_error(self, error: Exception) -> None:
         """End the request after an unexpected error."""
-        failure = describe_stray(error)
+        failure = describe_unexpected(error)
         if self.closed:
-            self._relay.rescue(failure)
+            self._forwarder.record_late_error(failure)
         else:
             self.fail(failure)
 
-    def _begin_relay(self, attempt: Attempt) -> Awaitable[None]:
-        self._running.hear(attempt)
-        self._running.cut(attempt)
-        return self._relay.begin(attempt)
+    def _begin_forwarding(self, attempt: Attempt) -> Awaitable[None]:
+        self._running.report_notice(attempt)
+        self._running.cancel_attempts(attempt)
+        return self._forwarder.begin(attempt)
 
-    def _settle(self) -> None:
+    def _send_answer(self) -> None:
         if self.closed:
             return
-        attempt = self._fallback
+        attempt = self._final_attempt
         if attempt is None:
             self.fail(Fault.INTERRUPTED.failure('no answer is available'))
             return
         # An attempt references its exchange. Without the reference back to the
         # attempt there is no cycle that only the garbage collector could free.
-        self._fallback = None
+        self._final_attempt = None
         self._close()
-        self._relay.send(attempt)
+        self._forwarder.send(attempt)
         spent = monotonic() - self._started_at - self._running.target_seconds
         self._context.meter.note_added(max(0, spent))
 
     def _close(self) -> None:
         self.closed = True
         self._deadline.cancel()
-        if self._sign is not None:
-            self._sign.cancel()
-        self._order.body.discard()
-        self._order.holder.end_work()
-        self._context.takers.pop(self._order.passage.key, None)
+        if self._keepalive is not None:
+            self._keepalive.cancel()
+        self._planned.body.discard()
+        self._planned.holder.end_work()
+        self._context.in_flight.pop(self._planned.forwarding.key, None)
         busy = bool(self._running.attempts)
-        self._running.cut()
+        self._running.cancel_attempts()
         if busy:
             self._context.poll(self._dispatching)
 
@@ -219,22 +222,22 @@
         return Fault.DEADLINE_UNKNOWN.failure('no answer in time')
     return Fault.DEADLINE_NOT_RUN.failure(
         'not sent in time',
-        retry_after=_COME_BACK,
+        retry_after=_RETRY_AFTER,
     )
 
 
-def is_last_word(
-    order: Order,
+def is_final_answer(
+    planned: PlannedRequest,
     observation: Observation,
-    verdict: Verdict,
+    decision: Verdict,
 ) -> bool:
     """Return whether an attempt's answer is sent to the caller."""
     if not isinstance(observation, Answered):
         return False
-    if isinstance(verdict, Done):
+    if isinstance(decision, Done):
         return True
     # The target's own failure answer is more specific than a generated one.
-    return order.plan.checks.relays_wrong and isinstance(verdict, Refuse)
+    return planned.plan.checks.relays_wrong and isinstance(decision, Refuse)
 
 
 def _is_wrong(observation: Observation) -> bool:
--- a/hillfield/proxy/failures.py
+++ b/hillfield/proxy/failures.py
@@ -51,7 +51,7 @@
         Step.READ_REQUEST,
         EventCode.REQUEST_TOO_LARGE,
     )
-    STRAY = (
+    UNEXPECTED = (
         500,
         Outcome.UNKNOWN,
         Step.AWAIT_ANSWER,
@@ -111,10 +111,10 @@
         )
 
 
-def describe_stray(error: Exception) -> RequestFailure:
+def describe_unexpected(error: Exception) -> RequestFailure:
     """Return the failure to send after an unexpected error.
 
-    >>> describe_stray(ValueError('odd')).detail
+    >>> describe_unexpected(ValueError('odd')).detail
     'ValueError: odd'
     """
-    return Fault.STRAY.failure(f'{type(error).__name__}: {error}')
+    return Fault.UNEXPECTED.failure(f'{type(error).__name__}: {error}')
--- a/hillfield/proxy/relays.py
+++ b/hillfield/proxy/forwarding.py
@@ -8,34 +8,34 @@
 from hillfield.model import Outcome, RequestFailure, Step
 from hillfield.proxy.attempts import Attempt
 from hillfield.proxy.context import ProxyContext
-from hillfield.proxy.courses import Course, name_age
 from hillfield.proxy.failures import Fault
-from hillfield.proxy.orders import Order
+from hillfield.proxy.plannedrequests import PlannedRequest
 from hillfield.proxy.replies import Reply
+from hillfield.proxy.summaries import AttemptSummary, classify_route_age
 from hillfield.routing.requests import Answered, Observation
 
 
-class Relay:
+class AnswerForwarder:
     """Send one caller the answer of an attempt, or a failure."""
 
     def __init__(
         self,
         context: ProxyContext,
-        order: Order,
+        planned: PlannedRequest,
         reply: Reply,
-        course: Course,
+        summary: AttemptSummary,
     ) -> None:
         """Initialize; nothing is answered yet."""
         self._context = context
-        self._order = order
+        self._planned = planned
         self._reply = reply
-        self._course = course
+        self._summary = summary
 
     def begin(self, attempt: Attempt) -> Awaitable[None]:
         """Forward an answer in parts from now on."""
-        attempt.relay = self._reply
-        attempt.answer.relaying = True
-        return self._reply.begin(attempt.answer, self._order.passage)
+        attempt.reply = self._reply
+        attempt.answer.is_forwarded = True
+        return self._reply.begin(attempt.answer, self._planned.forwarding)
 
     def end(self, observation: Observation) -> None:
         """End a forwarded answer, visibly broken if it is incomplete."""
@@ -46,57 +46,57 @@
         self._count(Outcome.UNKNOWN)
         failure = Fault.INTERRUPTED.failure('the answer ended early')
         self._record(failure)
-        self._tell(failure)
+        self._send_failure(failure)
 
     def send(self, attempt: Attempt) -> None:
         """Forward an answer that is complete in memory."""
         status = attempt.answer.start_line.code
         failed = status >= HTTPStatus.INTERNAL_SERVER_ERROR
         if failed:
-            self._record_passed_on(attempt, status)
+            self._record_target_failure(attempt, status)
         self._count(Outcome.ANSWERED, served=not failed)
-        self._reply.send_whole(attempt.answer, self._order.passage)
+        self._reply.send_complete(attempt.answer, self._planned.forwarding)
 
-    def send_sign(self) -> None:
+    def send_keepalive(self) -> None:
         """Send a keepalive, unless an answer has begun."""
-        self._reply.send_sign()
+        self._reply.send_keepalive()
 
     def fail(self, failure: RequestFailure) -> None:
         """Send a failure, or abort an answer that has begun."""
         self._record(failure)
         self._count(failure.outcome)
-        self._tell(failure)
+        self._send_failure(failure)
 
-    def rescue(self, failure: RequestFailure) -> None:
+    def record_late_error(self, failure: RequestFailure) -> None:
         """Record an error after the request was closed; answer if none was."""
         if self._reply.begun:
             self._record(failure)
         else:
             self.fail(failure)
 
-    def record_leaving(self) -> None:
+    def record_caller_gone(self) -> None:
         """Record that the caller closed the connection."""
         self._context.journal.record(
             Occurrence(
                 EventCode.CALLER_GONE,
-                service=self._order.plan.service,
-                request=self._order.passage.request,
+                service=self._planned.plan.service,
+                request=self._planned.forwarding.request,
             ),
         )
 
-    def _tell(self, failure: RequestFailure) -> None:
+    def _send_failure(self, failure: RequestFailure) -> None:
         if not self._reply.begun or self._reply.abort():
-            self._reply.fail(failure, self._order.passage.request)
+            self._reply.fail(failure, self._planned.forwarding.request)
 
     def _count(self, outcome: Outcome, *, served: bool = False) -> None:
-        plan = self._order.plan
+        plan = self._planned.plan
         meter = self._context.meter
         meter.note_request(plan.service, outcome)
-        age = name_age(plan, monotonic())
+        age = classify_route_age(plan, monotonic())
         if age is not None:
             meter.note_route(age, served)
 
-    def _record_passed_on(self, attempt: Attempt, status: int) -> None:
+    def _record_target_failure(self, attempt: Attempt, status: int) -> None:
         self._record(
             RequestFailure(
                 status,
@@ -111,7 +111,7 @@
     def _record(self, failure: RequestFailure) -> None:
         self._context.record_failure(
             failure,
-            self._order.passage.request,
-            self._order.plan.service,
-            self._course.describe(self._order.plan, monotonic()),
+            self._planned.forwarding.request,
+            self._planned.plan.service,
+            self._summary.describe(self._planned.plan, monotonic()),
         )
--- a/hillfield/proxy/leaving.py
+++ b/hillfield/proxy/halfclose.py
@@ -5,7 +5,7 @@
 from tornado.iostream import IOStream
 
 
-def has_left(stream: IOStream) -> bool:
+def has_closed_writing(stream: IOStream) -> bool:
     """Return whether the caller has closed its side of the connection.
 
     Tornado detects that only once it has read all bytes before it.
--- a/hillfield/proxy/handover.py
+++ b/hillfield/proxy/handover.py
@@ -16,13 +16,13 @@
 from tornado.iostream import StreamClosedError
 
 from hillfield.clocks import monotonic
-from hillfield.proxy.orders import Order
+from hillfield.proxy.keepalives import ErrorHandler, schedule_keepalive_check
+from hillfield.proxy.plannedrequests import PlannedRequest
+from hillfield.proxy.resources import AttemptResources
 from hillfield.proxy.sending import Sender
 from hillfield.proxy.settings import ProxySettings
-from hillfield.proxy.signs import StrayNoting, expect_sign
-from hillfield.proxy.streams import PromptStream
-from hillfield.proxy.targetlinks import AnswerReading, open_connection
-from hillfield.proxy.tools import AttemptTools
+from hillfield.proxy.streams import NoDelayStream
+from hillfield.proxy.targetconnections import AnswerReceiver, open_connection
 from hillfield.routing.readings import read_observation
 from hillfield.routing.requests import (
     Broken,
@@ -34,73 +34,82 @@
 from hillfield.timers import Appointment
 
 
-class Handover(AnswerReading):
+class Handover(AnswerReceiver):
     """Writer of one request to one connection.
 
     `written_at` is when the request may first have run (None: it certainly
     has not).
     """
 
-    owner: StrayNoting
+    owner: ErrorHandler
 
-    def __init__(self, send: Send, order: Order, tools: AttemptTools) -> None:
+    def __init__(
+        self,
+        send: Send,
+        planned: PlannedRequest,
+        resources: AttemptResources,
+    ) -> None:
         """Initialize; nothing is written yet."""
         self.send = send
         self.written_at: float | None = None
         self.ended = False
-        self._order = order
-        self._tools = tools
-        self._stream: PromptStream | None = None
+        self._planned = planned
+        self._resources = resources
+        self._stream: NoDelayStream | None = None
         self._sender: Sender | None = None
-        self._looking: Appointment | None = None
+        self._keepalive_check: Appointment | None = None
 
-    def hand_over(self, stream: PromptStream) -> None:
+    def write_to(self, stream: NoDelayStream) -> None:
         """Write the request, or only its head on an unproven connection."""
         if stream.closed():
             self.end(NothingWritten('connection ended before use'))
             return
-        settings = self._tools.settings
+        settings = self._resources.settings
         self._stream = stream
         self._sender = Sender(
-            self._order,
+            self._planned,
             open_connection(stream, settings),
             settings.targets,
             self.send,
         )
-        if is_doubtful(stream, self._order, settings):
-            self._write(self._sender.announce)
+        if is_unproven(stream, self._planned, settings):
+            self._write(self._sender.write_head_only)
         else:
             self._note_written()
             self._write(self._sender.start)
-        self._looking = expect_sign(self, self._tools, self._order)
+        self._keepalive_check = schedule_keepalive_check(
+            self,
+            self._resources,
+            self._planned,
+        )
 
-    def go_on(self) -> None:
+    def send_rest(self) -> None:
         """Write the rest of a request after the other end asked for it."""
-        held = self.written_at is None and not self.ended
-        if self._stream is None or self._sender is None or not held:
+        waiting = self.written_at is None and not self.ended
+        if self._stream is None or self._sender is None or not waiting:
             return
         if self._stream.closed():
             self.end(NothingWritten('connection ended before use'))
             return
         self._note_written()
-        self._write(self._sender.go_on)
+        self._write(self._sender.write_rest)
 
     def end(self, observation: Observation) -> None:
         """Report the first end of the attempt to the owner."""
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End the attempt by closing its connection to the target."""
         self.ended = True
-        self.expect_nothing()
+        self.cancel_keepalive_check()
         if self._stream is not None:
             self._stream.close()
 
-    def expect_nothing(self) -> None:
+    def cancel_keepalive_check(self) -> None:
         """Cancel the check for a keepalive."""
-        if self._looking is not None:
-            self._looking.cancel()
+        if self._keepalive_check is not None:
+            self._keepalive_check.cancel()
 
-    def correct(self, observation: Observation) -> Observation:
+    def correct_observation(self, observation: Observation) -> Observation:
         """Map an end before the full request was written to NothingWritten."""
         doubtful = isinstance(observation, (Broken, TimedOut))
         if self.written_at is None and doubtful:
@@ -109,7 +118,7 @@
 
     def _note_written(self) -> None:
         self.written_at = monotonic()
-        dispatching = self._tools.dispatching
+        dispatching = self._resources.dispatching
         dispatching.note_written(self.written_at, self.send.attempt)
 
     def _write(self, action: Callable[[], None]) -> None:
@@ -118,16 +127,16 @@
             action()
 
 
-def is_doubtful(
-    stream: PromptStream,
-    order: Order,
+def is_unproven(
+    stream: NoDelayStream,
+    planned: PlannedRequest,
     settings: ProxySettings,
 ) -> bool:
     """Return whether a request should be written in two steps."""
     after = settings.hand_over_after
     if after is None:
         return False
-    if order.start_line.method == 'HEAD':
+    if planned.start_line.method == 'HEAD':
         # Written by tornado itself, so that it expects no body in the answer.
         return False
     return get_running_loop().time() - stream.proven_at >= after
--- a/hillfield/proxy/heads.py
+++ b/hillfield/proxy/heads.py
@@ -56,7 +56,7 @@
 _PER_SECOND: Final = 1000
 
 
-class Passage(Struct, frozen=True):
+class ForwardingContext(Struct, frozen=True):
     """Settings for the headers of one request that is forwarded.
 
     `request` is the id that others see, `key` the one by which this node
@@ -163,28 +163,34 @@
     return min(deadline, int(text) / _PER_SECOND)
 
 
-def pass_request(headers: HTTPHeaders, passage: Passage) -> Fields:
+def forward_request_fields(
+    headers: HTTPHeaders,
+    forwarding: ForwardingContext,
+) -> Fields:
     """Return the headers for the target, before its dialect adds others.
 
     The secret of the client account is not forwarded.
     """
     passed = Fields(
         pair
-        for pair in _select(headers, passage.removed)
-        if not _is_credentials(pair, passage.key_scheme)
+        for pair in _select(headers, forwarding.removed)
+        if not _is_credentials(pair, forwarding.key_scheme)
     )
-    if passage.node:
-        passed.add('Via', f'1.1 {passage.node}')
-    passed.add(_REQUEST_ID_NAME, passage.request)
+    if forwarding.node:
+        passed.add('Via', f'1.1 {forwarding.node}')
+    passed.add(_REQUEST_ID_NAME, forwarding.request)
     return passed
 
 
-def pass_answer(headers: HTTPHeaders, passage: Passage) -> Fields:
+def forward_answer_fields(
+    headers: HTTPHeaders,
+    forwarding: ForwardingContext,
+) -> Fields:
     """Return the headers for the caller, without the body's length."""
     passed = Fields(_select(headers, frozenset()))
-    if passage.node:
-        passed.add('Via', f'1.1 {passage.node}')
-    passed.add(_REQUEST_ID_NAME, passage.request)
+    if forwarding.node:
+        passed.add('Via', f'1.1 {forwarding.node}')
+    passed.add(_REQUEST_ID_NAME, forwarding.request)
     return passed
 
 
--- a/hillfield/proxy/identifiers.py
+++ b/hillfield/proxy/identifiers.py
@@ -14,10 +14,10 @@
 _NUMBERS: Final = count(1)
 
 
-def find_request_id(headers: HTTPHeaders, taken: Container[str]) -> str:
+def assign_request_id(headers: HTTPHeaders, in_use: Container[str]) -> str:
     """Return the caller's request id, made unique among those in flight."""
     given = read_request_id(headers)
-    if given and given not in taken:
+    if given and given not in in_use:
         return given
     number = next(_NUMBERS)
     if given:
--- a/hillfield/proxy/incoming.py
+++ b/hillfield/proxy/incoming.py
@@ -5,7 +5,7 @@
 from tornado.httputil import HTTPHeaders, ResponseStartLine
 
 from hillfield.model import AnswerChecks, TargetNotice
-from hillfield.proxy.checks import find_wrong_body, find_wrong_head
+from hillfield.proxy.checks import check_body, check_head
 from hillfield.proxy.dialects import TargetDialect
 from hillfield.routing.requests import Answered, Broken, Observation
 
@@ -34,9 +34,9 @@
         self.headers = HTTPHeaders()
         self.held = bytearray()
         self.interim = False
-        self.alive = False
-        self.relaying = False
-        self.stray = False
+        self.received_any = False
+        self.is_forwarded = False
+        self.stale = False
         self.failure: Observation | None = None
         self.notice: TargetNotice | None = None
         self._checks = checks
@@ -44,20 +44,20 @@
         self._dialect = dialect
         self._request = request
 
-    def take_head(
+    def receive_head(
         self,
         start_line: ResponseStartLine,
         headers: HTTPHeaders,
     ) -> bool:
         """Receive a head; return whether it is the final one."""
         if start_line.code < _FIRST_FINAL:
-            self.alive = True
+            self.received_any = True
             self.interim = not self._dialect.sends_signs
             return False
-        self.stray = not self._dialect.is_answer_to(self._request, headers)
-        if self.stray:
+        self.stale = not self._dialect.is_answer_to(self._request, headers)
+        if self.stale:
             return False
-        self.alive = True
+        self.received_any = True
         self.start_line = start_line
         self.headers = headers
         self._dialect.note_headers(headers)
@@ -79,49 +79,49 @@
         """Return whether the length of the body is known from the head."""
         return 'Content-Length' in self.headers
 
-    def is_decidable(self) -> bool:
+    def can_be_checked(self) -> bool:
         """Return whether enough has arrived for the plan's checks."""
         checks = self._checks
         needed = max(checks.minimum_length, len(checks.required_prefix))
         return len(self.held) >= needed
 
-    def find_wrong(self, whole: bool) -> str:
+    def check_answer(self, complete: bool) -> str:
         """Return why the answer fails the plan's checks, or an empty string."""
         has_header = self._checks.required_header in self.headers
-        wrong = find_wrong_head(
+        wrong = check_head(
             self._checks,
             self.start_line.code,
             has_header,
         )
-        if wrong or self.relaying or self._method == 'HEAD':
+        if wrong or self.is_forwarded or self._method == 'HEAD':
             return wrong
-        size = len(self.held) if whole else self._find_size()
-        return find_wrong_body(self._checks, bytes(self.held), size)
+        size = len(self.held) if complete else self._find_size()
+        return check_body(self._checks, bytes(self.held), size)
 
-    def judge_part(self) -> Observation | None:
+    def observe_partial(self) -> Observation | None:
         """Return why an incomplete answer must not be forwarded, or None."""
         if self.failure is not None:
             return self.failure
-        wrong = self.find_wrong(whole=False)
+        wrong = self.check_answer(complete=False)
         if wrong:
             return Answered(self.start_line.code, wrong)
         return None
 
-    def judge_whole(self) -> Observation:
+    def observe_complete(self) -> Observation:
         """Return the observation of a complete answer."""
-        if self.failure is not None and not self.relaying:
+        if self.failure is not None and not self.is_forwarded:
             return self.failure
         return Answered(
             self.start_line.code,
-            self.find_wrong(whole=True),
-            self.relaying,
+            self.check_answer(complete=True),
+            self.is_forwarded,
         )
 
-    def judge_broken(self, detail: str) -> Observation:
+    def observe_broken(self, detail: str) -> Observation:
         """Return the observation of an answer that ended early."""
-        if self.failure is not None and not self.relaying:
+        if self.failure is not None and not self.is_forwarded:
             return self.failure
-        return Broken(detail, self.relaying)
+        return Broken(detail, self.is_forwarded)
 
     def _find_size(self) -> int | None:
         announced = self.headers.get('Content-Length')
--- a/hillfield/proxy/intake.py
+++ b/hillfield/proxy/intake.py
@@ -14,11 +14,11 @@
 # Connections, and requests, admitted in one pass: a running request takes about
 # seven passes at each node from send to answer, and each new request prolongs
 # a pass by about a millisecond.
-TAKEN_AT_ONCE: Final = 2
+ADMITTED_PER_PASS: Final = 2
 # Backlog of the listening socket: connections that wait to be accepted.
-MOST_WAITING: Final = 1024
+LISTEN_BACKLOG: Final = 1024
 
-Taker = Callable[[socket], None]
+ConnectionCallback = Callable[[socket], None]
 
 
 class Intake:
@@ -31,46 +31,54 @@
 
     def __init__(self) -> None:
         """Start with the full number of admissions for this pass."""
-        self._left = TAKEN_AT_ONCE
+        self._remaining = ADMITTED_PER_PASS
         self._waiting: deque[Future[None]] = deque()
 
     async def enter(self) -> None:
         """Wait until the request is admitted."""
-        if self._left:
-            self._take()
+        if self._remaining:
+            self._admit()
             return
-        turn = get_running_loop().create_future()
-        self._waiting.append(turn)
-        await turn
+        admission = get_running_loop().create_future()
+        self._waiting.append(admission)
+        await admission
 
-    def _take(self) -> None:
-        self._left -= 1
-        if not self._left:
-            get_running_loop().call_soon(self._renew)
+    def _admit(self) -> None:
+        self._remaining -= 1
+        if not self._remaining:
+            get_running_loop().call_soon(self._start_pass)
 
-    def _renew(self) -> None:
+    def _start_pass(self) -> None:
         """Admit the next waiting requests in a new pass."""
-        self._left = TAKEN_AT_ONCE
-        while self._waiting and self._left:
-            turn = self._waiting.popleft()
-            if not turn.done():
-                turn.set_result(None)
-                self._take()
+        self._remaining = ADMITTED_PER_PASS
+        while self._waiting and self._remaining:
+            admission = self._waiting.popleft()
+            if not admission.done():
+                admission.set_result(None)
+                self._admit()
 
 
 class Acceptor:
     """Listen at an address and pass on connections, a few at a time."""
 
-    def __init__(self, address: Address, take: Taker) -> None:
+    def __init__(
+        self,
+        address: Address,
+        on_connection: ConnectionCallback,
+    ) -> None:
         """Listen; raises `OSError` when the address is not available."""
-        listeners = bind_sockets(address.port, address.ip, backlog=MOST_WAITING)
+        listeners = bind_sockets(
+            address.port,
+            address.ip,
+            backlog=LISTEN_BACKLOG,
+        )
         self._listener = listeners[0]
-        self._take = take
+        self._on_connection = on_connection
         self.address = Address(address.ip, self._listener.getsockname()[1])
         get_running_loop().add_reader(
             self._listener.fileno(),
             self._accept,
-            TAKEN_AT_ONCE,
+            ADMITTED_PER_PASS,
         )
 
     def close(self) -> None:
@@ -78,7 +86,7 @@
         if self._listener.fileno() < 0:
             return
         get_running_loop().remove_reader(self._listener.fileno())
-        self._accept(MOST_WAITING)
+        self._accept(LISTEN_BACKLOG)
         self._listener.close()
 
     def _accept(self, most: int) -> None:
@@ -89,5 +97,5 @@
     def _accept_one(self) -> None:
         """Accept a connection; raises `BlockingIOError` if none waits."""
         with suppress(ConnectionAbortedError):
-            link, _ = self._listener.accept()
-            self._take(link)
+            sock, _ = self._listener.accept()
+            self._on_connection(sock)
--- a/hillfield/proxy/signs.py
+++ b/hillfield/proxy/keepalives.py
@@ -7,20 +7,20 @@
 from hillfield.clocks import TOLERATED, monotonic
 from hillfield.proxy.guards import run_guarded
 from hillfield.proxy.incoming import IncomingAnswer
-from hillfield.proxy.orders import Order
-from hillfield.proxy.tools import AttemptTools
+from hillfield.proxy.plannedrequests import PlannedRequest
+from hillfield.proxy.resources import AttemptResources
 from hillfield.routing.requests import Broken, Observation, Send
 from hillfield.timers import STEP, Appointment, find_timer, run_when_read
 
 
-class StrayNoting(Protocol):
+class ErrorHandler(Protocol):
     """Owner of a request."""
 
-    def note_stray(self, error: Exception) -> None:
+    def handle_error(self, error: Exception) -> None:
         """Process an unexpected error."""
 
 
-class Attempting(Protocol):
+class AttemptInFlight(Protocol):
     """Attempt in flight."""
 
     send: Send
@@ -29,67 +29,67 @@
     written_at: float | None
 
     @property
-    def owner(self) -> StrayNoting:
+    def owner(self) -> ErrorHandler:
         """Return the owner of the request."""
 
     def end(self, observation: Observation) -> None:
         """Report the first end of the attempt to the owner."""
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End the attempt by closing its connection to the other end."""
 
 
-def expect_sign(
-    attempt: Attempting,
-    tools: AttemptTools,
-    order: Order,
+def schedule_keepalive_check(
+    attempt: AttemptInFlight,
+    resources: AttemptResources,
+    planned: PlannedRequest,
 ) -> Appointment | None:
     """Schedule a check for a keepalive, where the other end sends them.
 
     The end of the attempt must cancel it: until then it references the
     complete request.
     """
-    within = tools.settings.sign_within
+    within = resources.settings.sign_within
     if not within:
         return None
-    looking = partial(
+    check = partial(
         run_guarded,
-        partial(look_for_sign, attempt, tools, order),
-        attempt.owner.note_stray,
+        partial(check_keepalive, attempt, resources, planned),
+        attempt.owner.handle_error,
     )
     # On the shared timer: most answers arrive before, and need no wake-up.
     return find_timer().after(
         within,
-        partial(_look_in_time, monotonic() + within, looking),
+        partial(_run_in_time, monotonic() + within, check),
     )
 
 
-def look_for_sign(
-    attempt: Attempting,
-    tools: AttemptTools,
-    order: Order,
+def check_keepalive(
+    attempt: AttemptInFlight,
+    resources: AttemptResources,
+    planned: PlannedRequest,
 ) -> None:
     """Stop using a silent connection; send repeatable work elsewhere at once.
 
     Other work keeps waiting once it has been written completely: it may run
     there, and must not run twice.
     """
-    if attempt.ended or attempt.answer.alive:
+    if attempt.ended or attempt.answer.received_any:
         return
-    tools.pool.drop(attempt.send.target)
-    held = attempt.written_at is None
-    if not held:
+    resources.pool.drop(attempt.send.target)
+    incomplete = attempt.written_at is None
+    if not incomplete:
         # For an incomplete request, its end alone reports the silence.
-        tools.dispatching.note_silent(monotonic(), attempt.send.attempt)
-    repeatable = order.plan.idempotent and not order.body.streamed
-    if held or repeatable:
+        resources.dispatching.note_silent(monotonic(), attempt.send.attempt)
+    repeatable = planned.plan.idempotent and not planned.body.streamed
+    if incomplete or repeatable:
         attempt.end(Broken('no sign of life'))
-        attempt.cut()
+        attempt.abort()
 
 
-def _look_in_time(due: float, looking: Callable[[], None]) -> None:
+def _run_in_time(due: float, check: Callable[[], None]) -> None:
     """Check now, or if the loop is late, after pending input is read."""
     if monotonic() - due > STEP + TOLERATED:
-        run_when_read(looking)
+        run_when_read(check)
     else:
-        looking()
+        check()
--- a/hillfield/proxy/measurement/__init__.py
+++ b/hillfield/proxy/measurement/__init__.py
@@ -2,20 +2,20 @@
 
 from hillfield.proxy.measurement.latency import (
     AddedLatency,
-    LatencyFindings,
+    LatencyMeasurement,
     LatencyPlan,
     measure_latency,
 )
 from hillfield.proxy.measurement.streaming import (
-    StreamingFindings,
+    StreamingMeasurement,
     measure_streaming,
 )
 
 __all__ = (
     'AddedLatency',
-    'LatencyFindings',
+    'LatencyMeasurement',
     'LatencyPlan',
-    'StreamingFindings',
+    'StreamingMeasurement',
     'measure_latency',
     'measure_streaming',
 )
--- a/hillfield/proxy/measurement/echo.py
+++ b/hillfield/proxy/measurement/echo.py
@@ -3,7 +3,7 @@
 from asyncio import StreamReader, StreamWriter, start_server
 from typing import Final
 
-from hillfield.proxy.measurement.processes import serve_until_told
+from hillfield.proxy.measurement.processes import serve_until_eof
 
 _HEAD_END: Final = b'\r\n\r\n'
 _LAST_CHUNK: Final = b'0\r\n\r\n'
@@ -14,7 +14,7 @@
 async def serve() -> None:
     """Serve on a free port until standard input ends."""
     server = await start_server(_echo, '127.0.0.1', 0)
-    await serve_until_told(server.sockets[0].getsockname()[1])
+    await serve_until_eof(server.sockets[0].getsockname()[1])
     server.close()
 
 
--- a/hillfield/proxy/measurement/latency.py
+++ b/hillfield/proxy/measurement/latency.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from hillfield.proxy.measurement.load import LoadSettings
-from hillfield.proxy.measurement.processes import Part
+from hillfield.proxy.measurement.processes import MeasurementProcess
 
 BASE_RATE: Final = 122.0
 _PER_SECOND: Final = 1000
@@ -41,7 +41,7 @@
     added_p99: float
 
 
-class LatencyFindings(msgspec.Struct, frozen=True):
+class LatencyMeasurement(msgspec.Struct, frozen=True):
     """Added latency per rate, and requests per second and core."""
 
     added: tuple[AddedLatency, ...]
@@ -49,11 +49,11 @@
     node_memory: int
 
 
-def measure_latency(plan: LatencyPlan) -> LatencyFindings:
+def measure_latency(plan: LatencyPlan) -> LatencyMeasurement:
     """Compare the node with direct calls, interleaved in each run."""
-    with Part('target') as target:
+    with MeasurementProcess('target') as target:
         target_port = target.read_line()
-        with Part('node', target_port) as node:
+        with MeasurementProcess('node', target_port) as node:
             ports = int(node.read_line()), int(target_port)
             _run(LoadSettings(ports, BASE_RATE, 1))
             added = tuple(
@@ -66,13 +66,13 @@
             )
             after = node.ask_usage()
     used = after.processor - before.processor
-    return LatencyFindings(added, len(requests[0]) / used, after.memory)
+    return LatencyMeasurement(added, len(requests[0]) / used, after.memory)
 
 
-def find_quantiles(seconds: tuple[float, ...]) -> Quantiles:
+def compute_quantiles(seconds: tuple[float, ...]) -> Quantiles:
     """Return quantiles in milliseconds of latencies in seconds.
 
-    >>> find_quantiles((0.003, 0.001, 0.002))
+    >>> compute_quantiles((0.003, 0.001, 0.002))
     Quantiles(p50=2.0, p99=3.0)
     """
     ordered = sorted(seconds)
@@ -89,28 +89,31 @@
     plan: LatencyPlan,
 ) -> AddedLatency:
     direct: list[Quantiles] = []
-    carried: list[Quantiles] = []
+    through_node: list[Quantiles] = []
     requests = 0
     for repeat in range(plan.repeats):
         node, target = _run(
-            LoadSettings(ports, rate, plan.seconds, seed=repeat)
+            LoadSettings(ports, rate, plan.seconds, seed=repeat),
         )
         requests += len(node)
-        carried.append(find_quantiles(node))
-        direct.append(find_quantiles(target))
-    pairs = tuple(zip(carried, direct, strict=True))
+        through_node.append(compute_quantiles(node))
+        direct.append(compute_quantiles(target))
+    pairs = tuple(zip(through_node, direct, strict=True))
     return AddedLatency(
         rate,
         requests,
         median(run.p50 for run in direct),
         median(run.p99 for run in direct),
-        median(above.p50 - below.p50 for above, below in pairs),
-        median(above.p99 - below.p99 for above, below in pairs),
+        median(node_run.p50 - direct_run.p50 for node_run, direct_run in pairs),
+        median(node_run.p99 - direct_run.p99 for node_run, direct_run in pairs),
     )
 
 
 def _run(settings: LoadSettings) -> tuple[tuple[float, ...], ...]:
-    with Part('load', msgspec.json.encode(settings).decode()) as load:
+    with MeasurementProcess(
+        'load',
+        msgspec.json.encode(settings).decode(),
+    ) as load:
         return msgspec.json.decode(
             load.read_line(),
             type=tuple[tuple[float, ...], ...],
--- a/hillfield/proxy/measurement/load.py
+++ b/hillfield/proxy/measurement/load.py
@@ -43,7 +43,7 @@
     seed: int = 1
 
 
-class Caller(Protocol):
+class Client(Protocol):
     """Client that sends one request at a time over one connection."""
 
     def __init__(self) -> None:
@@ -60,8 +60,8 @@
         """Complete the pending request if its answer is complete."""
         self._received += data
         end = self._received.find(_HEAD_END)
-        whole = end >= 0 and self._received.startswith(b'HTTP/1.1 200')
-        if whole and len(self._received) >= end + 4 + BODY_SIZE:
+        complete = end >= 0 and self._received.startswith(b'HTTP/1.1 200')
+        if complete and len(self._received) >= end + 4 + BODY_SIZE:
             self._received.clear()
             if self._answered is not None:
                 self._answered.set_result(None)
@@ -82,56 +82,59 @@
 
 
 @dataclass(slots=True)
-class Lane:
+class PortLoad:
     """Callers and latencies of one port."""
 
     port: int
-    idle: deque[Caller] = field(default_factory=deque)
+    idle: deque[Client] = field(default_factory=deque)
     seconds: list[float] = field(default_factory=list)
 
     async def ask(self) -> None:
         """Send one request over a free connection."""
-        caller = self.idle.pop() if self.idle else await self._connect()
-        taken = await caller.ask()
-        self.seconds.append(taken)
-        self.idle.append(caller)
-
-    async def _connect(self) -> Caller:
-        _, caller = await get_running_loop().create_connection(
-            Caller,
+        client = self.idle.pop() if self.idle else await self._connect()
+        latency = await client.ask()
+        self.seconds.append(latency)
+        self.idle.append(client)
+
+    async def _connect(self) -> Client:
+        _, client = await get_running_loop().create_connection(
+            Client,
             '127.0.0.1',
             self.port,
         )
-        return caller
+        return client
 
 
 async def run_load(settings: LoadSettings) -> tuple[tuple[float, ...], ...]:
     """Return the latencies in seconds per port."""
-    lanes = tuple(Lane(port) for port in settings.ports)
+    loads = tuple(PortLoad(port) for port in settings.ports)
     if settings.rate:
-        await _run_open(lanes, settings)
+        await _run_open(loads, settings)
     else:
         callers = range(settings.callers)
-        await gather(*(_run_closed(lanes[0], settings) for _ in callers))
-    return tuple(tuple(lane.seconds) for lane in lanes)
+        await gather(*(_run_closed(loads[0], settings) for _ in callers))
+    return tuple(tuple(load.seconds) for load in loads)
 
 
-async def _run_open(lanes: tuple[Lane, ...], settings: LoadSettings) -> None:
+async def _run_open(
+    loads: tuple[PortLoad, ...],
+    settings: LoadSettings,
+) -> None:
     random = Random(settings.seed)
     tasks: set[Task[None]] = set()
     due = perf_counter()
     ends = due + settings.seconds
     while due < ends:
-        due += random.expovariate(settings.rate * len(lanes))
+        due += random.expovariate(settings.rate * len(loads))
         await sleep(max(0, due - perf_counter()))
-        lane = lanes[random.randrange(len(lanes))]
-        task = create_task(lane.ask())
+        load = loads[random.randrange(len(loads))]
+        task = create_task(load.ask())
         tasks.add(task)
         task.add_done_callback(tasks.discard)
     await gather(*tasks)
 
 
-async def _run_closed(lane: Lane, settings: LoadSettings) -> None:
+async def _run_closed(load: PortLoad, settings: LoadSettings) -> None:
     ends = perf_counter() + settings.seconds
     while perf_counter() < ends:
-        await lane.ask()
+        await load.ask()
--- a/hillfield/proxy/measurement/node.py
+++ b/hillfield/proxy/measurement/node.py
@@ -17,7 +17,7 @@
     Target,
     TargetId,
 )
-from hillfield.proxy.measurement.processes import serve_until_told
+from hillfield.proxy.measurement.processes import serve_until_eof
 from hillfield.proxy.memory import freeze_startup_memory
 from hillfield.proxy.ports import RequestHead
 from hillfield.proxy.server import ProxyServer
@@ -38,7 +38,7 @@
 )
 
 
-class OnePlan:
+class FixedPlan:
     """Plan source with one plan for all requests."""
 
     def resolve(
@@ -58,7 +58,7 @@
     table.adopt_targets(monotonic(), _SERVICE, (target,))
     server = ProxyServer(
         ProxySettings(Address('127.0.0.1', 0)),
-        OnePlan(),
+        FixedPlan(),
         table,
         ListJournal(),
     )
@@ -66,7 +66,7 @@
     ticker = PeriodicCallback(lambda: _tick(table, server), _TICK_MILLISECONDS)
     ticker.start()
     freeze_startup_memory()
-    await serve_until_told(server.address.port)
+    await serve_until_eof(server.address.port)
     ticker.stop()
     await server.drain()
 
--- a/hillfield/proxy/measurement/processes.py
+++ b/hillfield/proxy/measurement/processes.py
@@ -25,20 +25,20 @@
     return Usage(used.ru_utime + used.ru_stime, used.ru_maxrss)
 
 
-async def serve_until_told(port: int) -> None:
+async def serve_until_eof(port: int) -> None:
     """Print the port, then the usage for each input line, until input ends."""
     loop = get_running_loop()
-    _tell(str(port))
+    _print_line(str(port))
     while await loop.run_in_executor(None, sys.stdin.readline):
-        _tell(msgspec.json.encode(read_usage()).decode())
+        _print_line(msgspec.json.encode(read_usage()).decode())
 
 
-def _tell(line: str) -> None:
+def _print_line(line: str) -> None:
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
 
 
-class Part:
+class MeasurementProcess:
     """Process of a measurement; leaving the context ends it."""
 
     def __init__(self, role: str, *arguments: str) -> None:
--- a/hillfield/proxy/measurement/streaming.py
+++ b/hillfield/proxy/measurement/streaming.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct
 
-from hillfield.proxy.measurement.processes import Part
+from hillfield.proxy.measurement.processes import MeasurementProcess
 
 _BLOCK_SIZE: Final = 65536
 _BLOCK: Final = b'x' * _BLOCK_SIZE
@@ -15,7 +15,7 @@
 _READ_SIZE: Final = 262144
 
 
-class StreamingFindings(Struct, frozen=True):
+class StreamingMeasurement(Struct, frozen=True):
     """Peak memory of the node in kilobytes, and the bytes streamed.
 
     `warm` is the peak after a first, small transfer.
@@ -27,41 +27,41 @@
     peak: int
 
 
-def measure_streaming(blocks: int) -> StreamingFindings:
+def measure_streaming(blocks: int) -> StreamingMeasurement:
     """Stream `blocks` of 64 KB to a target that echoes them."""
-    with Part('echo') as target:
-        with Part('node', target.read_line()) as node:
+    with MeasurementProcess('echo') as target:
+        with MeasurementProcess('node', target.read_line()) as node:
             port = int(node.read_line())
             _stream(port, blocks=4)
             warm = node.ask_usage().memory
             received = _stream(port, blocks)
             peak = node.ask_usage().memory
-    return StreamingFindings(blocks * _BLOCK_SIZE, received, warm, peak)
+    return StreamingMeasurement(blocks * _BLOCK_SIZE, received, warm, peak)
 
 
 def _stream(port: int, blocks: int) -> int:
-    with socket.create_connection(('127.0.0.1', port)) as link:
-        writer = Thread(target=_write, args=(link, blocks))
+    with socket.create_connection(('127.0.0.1', port)) as sock:
+        writer = Thread(target=_write, args=(sock, blocks))
         writer.start()
-        received = _read(link)
+        received = _read(sock)
         writer.join()
     return received
 
 
-def _write(link: socket.socket, blocks: int) -> None:
-    link.sendall(
+def _write(sock: socket.socket, blocks: int) -> None:
+    sock.sendall(
         b'POST /echo HTTP/1.1\r\nHost: 127.0.0.1\r\nConnection: close\r\n'
         b'Transfer-Encoding: chunked\r\n\r\n',
     )
     for _ in range(blocks):
-        link.sendall(_CHUNK)
-    link.sendall(_LAST_CHUNK)
+        sock.sendall(_CHUNK)
+    sock.sendall(_LAST_CHUNK)
 
 
-def _read(link: socket.socket) -> int:
+def _read(sock: socket.socket) -> int:
     received = 0
-    part = link.recv(_READ_SIZE)
+    part = sock.recv(_READ_SIZE)
     while part:
         received += len(part)
-        part = link.recv(_READ_SIZE)
+        part = sock.recv(_READ_SIZE)
     return received
--- a/hillfield/proxy/measurement/target.py
+++ b/hillfield/proxy/measurement/target.py
@@ -3,7 +3,7 @@
 from asyncio import BaseTransport, Protocol, Transport, get_running_loop
 from typing import Final, cast
 
-from hillfield.proxy.measurement.processes import serve_until_told
+from hillfield.proxy.measurement.processes import serve_until_eof
 
 BODY_SIZE: Final = 1024
 _HEAD_END: Final = b'\r\n\r\n'
@@ -46,5 +46,5 @@
         '127.0.0.1',
         0,
     )
-    await serve_until_told(server.sockets[0].getsockname()[1])
+    await serve_until_eof(server.sockets[0].getsockname()[1])
     server.close()
--- a/hillfield/proxy/notices.py
+++ b/hillfield/proxy/notices.py
@@ -14,10 +14,13 @@
 # More digits than these are not a plausible limit.
 DECIMAL: Final = re.compile(r'\d{1,9}(?:\.\d{1,9})?', re.ASCII)
 # Characters shown of a header that can't be parsed.
-SHOWN: Final = 40
+SHOWN_CHARACTERS: Final = 40
 FLAG: Final = re.compile('[01]')
-KEPT: Final = re.compile(r'(?:^|,)\s*timeout=(\d{1,9})(?=\s*(?:,|$))', re.ASCII)
-LEAVES: Final = '1'
+KEEP_ALIVE: Final = re.compile(
+    r'(?:^|,)\s*timeout=(\d{1,9})(?=\s*(?:,|$))',
+    re.ASCII,
+)
+LEAVING: Final = '1'
 
 
 class AnswerWords(Struct, frozen=True):
@@ -40,9 +43,9 @@
 class NoticingDialect:
     """Parts common to dialects of targets that send notices."""
 
-    def __init__(self, words: AnswerWords, unread: UnreadHeaders) -> None:
+    def __init__(self, names: AnswerWords, unread: UnreadHeaders) -> None:
         """Use these header names; `unread` inspects all headers."""
-        self._words = words
+        self._names = names
         self._unread = unread
 
     def read_notice(
@@ -56,9 +59,9 @@
         one (421) is from another incarnation.
         """
         misdirected = status == HTTPStatus.MISDIRECTED_REQUEST
-        if misdirected or self._words.digest not in headers:
+        if misdirected or self._names.digest not in headers:
             return None
-        return read_notice(headers, self._words)
+        return read_notice(headers, self._names)
 
     def read_room(self, target: TargetId, headers: HTTPHeaders) -> None:
         """Return None: targets don't report their capacity."""
@@ -69,7 +72,7 @@
 
     def note_headers(self, headers: HTTPHeaders) -> None:
         """Count the headers that are not known."""
-        self._unread.note(headers)
+        self._unread.count_unknown(headers)
 
     @property
     def sends_signs(self) -> bool:
@@ -77,33 +80,33 @@
         return False
 
 
-def read_notice(headers: HTTPHeaders, words: AnswerWords) -> TargetNotice:
+def read_notice(headers: HTTPHeaders, names: AnswerWords) -> TargetNotice:
     """Return the notice in an answer's headers.
 
     Of several limits the lowest counts. A limit that can't be parsed has no
     effect: it neither lifts the present limit nor sets one.
 
-    >>> words = AnswerWords('Digest', 'Limit', 'Leaving')
-    >>> read_notice(HTTPHeaders({'Limit': '3, 2.4'}), words).rate
+    >>> names = AnswerWords('Digest', 'Limit', 'Leaving')
+    >>> read_notice(HTTPHeaders({'Limit': '3, 2.4'}), names).rate
     2.4
-    >>> read_notice(HTTPHeaders({'Limit': '-1'}), words).unread
+    >>> read_notice(HTTPHeaders({'Limit': '-1'}), names).unread
     "Limit: '-1'"
-    >>> read_notice(HTTPHeaders({'Leaving': '1'}), words).leaving
+    >>> read_notice(HTTPHeaders({'Leaving': '1'}), names).leaving
     True
     """
-    limit = headers.get(words.limit)
-    leaving = headers.get(words.leaving)
+    limit = headers.get(names.limit)
+    leaving = headers.get(names.leaving)
     if limit is None and leaving is None:
         return SAYS_NOTHING
     rates = _read_all(DECIMAL, limit)
     flags = _read_all(FLAG, leaving)
     unread = (
-        '' if rates else _show(words.limit, limit),
-        '' if flags else _show(words.leaving, leaving),
+        '' if rates else _show(names.limit, limit),
+        '' if flags else _show(names.leaving, leaving),
     )
     return TargetNotice(
         min(map(float, rates), default=None),
-        LEAVES in flags,
+        LEAVING in flags,
         ', '.join(filter(None, unread)),
         vague=bool(unread[0]),
     )
@@ -117,16 +120,16 @@
 
 def _show(name: str, text: str | None) -> str:
     """Return a header that can't be parsed; nothing if there is none."""
-    shown = repr(text)[:SHOWN]
+    shown = repr(text)[:SHOWN_CHARACTERS]
     return '' if text is None else f'{name}: {shown}'
 
 
-def read_kept(headers: HTTPHeaders) -> float | None:
+def read_keep_alive(headers: HTTPHeaders) -> float | None:
     """Return the announced keep-alive timeout in seconds, if any.
 
-    >>> read_kept(HTTPHeaders({'Keep-Alive': 'timeout=5, max=100'}))
+    >>> read_keep_alive(HTTPHeaders({'Keep-Alive': 'timeout=5, max=100'}))
     5.0
-    >>> read_kept(HTTPHeaders({'Keep-Alive': 'timeout=soon'}))
+    >>> read_keep_alive(HTTPHeaders({'Keep-Alive': 'timeout=soon'}))
     """
-    told = KEPT.search(headers.get('Keep-Alive', ''))
-    return None if told is None else float(told[1])
+    announced = KEEP_ALIVE.search(headers.get('Keep-Alive', ''))
+    return None if announced is None else float(announced[1])
--- a/hillfield/proxy/ordering.py
+++ b/hillfield/proxy/ordering.py
@@ -8,7 +8,7 @@
 from msgspec import Struct
 
 
-class Answering(Protocol):
+class OrderedAnswer(Protocol):
     """Answer to one request, written only once its slot is open.
 
     `held`: how many bytes are buffered until then; `closing`: the connection
@@ -18,13 +18,13 @@
     held: int
     closing: bool
 
-    def take(self) -> None:
+    def open(self) -> None:
         """Write what is buffered, and all later parts immediately."""
 
 
-class _Place(Struct, frozen=True):
-    answer: Answering
-    leave: Callable[[], None]
+class _QueuedAnswer(Struct, frozen=True):
+    answer: OrderedAnswer
+    cancel: Callable[[], None]
 
 
 class AnswerOrder:
@@ -40,42 +40,42 @@
         self.idle_since = float()
         self._depth = depth
         self._held_limit = held_limit
-        self._places: deque[_Place] = deque()
+        self._queue: deque[_QueuedAnswer] = deque()
         self._change: Future[None] | None = None
 
-    def join(self, answer: Answering, leave: Callable[[], None]) -> None:
+    def join(self, answer: OrderedAnswer, cancel: Callable[[], None]) -> None:
         """Append an answer; `cancel` cancels its request."""
-        self._places.append(_Place(answer, leave))
-        if len(self._places) == 1:
-            answer.take()
+        self._queue.append(_QueuedAnswer(answer, cancel))
+        if len(self._queue) == 1:
+            answer.open()
 
     def is_busy(self) -> bool:
         """Return whether an answer is still to be written."""
-        return bool(self._places)
+        return bool(self._queue)
 
-    def has_room(self) -> bool:
+    def accepts_more(self) -> bool:
         """Return whether another request may be read."""
-        if len(self._places) >= self._depth:
+        if len(self._queue) >= self._depth:
             return False
-        held = sum(place.answer.held for place in self._places)
+        held = sum(queued.answer.held for queued in self._queue)
         return held <= self._held_limit
 
-    def note_ended(self, answer: Answering) -> None:
+    def advance(self, answer: OrderedAnswer) -> None:
         """Open the next slot; no answer follows one that closes."""
-        if not self._places or self._places[0].answer is not answer:
+        if not self._queue or self._queue[0].answer is not answer:
             return
-        self._places.popleft()
-        if self._places and not answer.closing:
-            self._places[0].answer.take()
-        if not self._places:
+        self._queue.popleft()
+        if self._queue and not answer.closing:
+            self._queue[0].answer.open()
+        if not self._queue:
             self.idle_since = get_running_loop().time()
         self.wake()
 
     def close_after_last(self) -> bool:
         """Close the connection after the last request read, if any."""
-        if not self._places:
+        if not self._queue:
             return False
-        self._places[-1].answer.closing = True
+        self._queue[-1].answer.closing = True
         return True
 
     async def wait(self) -> None:
@@ -88,8 +88,8 @@
         if self._change is not None and not self._change.done():
             self._change.set_result(None)
 
-    def leave(self) -> None:
+    def cancel_all(self) -> None:
         """Cancel all requests after the connection has ended."""
-        while self._places:
-            self._places.popleft().leave()
+        while self._queue:
+            self._queue.popleft().cancel()
         self.wake()
--- a/hillfield/proxy/orders.py
+++ b/hillfield/proxy/plannedrequests.py
@@ -11,7 +11,7 @@
 from hillfield.proxy.bodies import RequestBody
 from hillfield.proxy.dialects import TargetDialect
 from hillfield.proxy.fields import Fields
-from hillfield.proxy.heads import Passage, pass_request
+from hillfield.proxy.heads import ForwardingContext, forward_request_fields
 from hillfield.routing.requests import Send
 
 _LENGTH: Final = 'Content-Length'
@@ -23,7 +23,7 @@
 _BODY_METHODS: Final = frozenset(('POST', 'PUT', 'PATCH'))
 
 
-class Order(Struct, frozen=True):
+class PlannedRequest(Struct, frozen=True):
     """A planned request; `expires` is in monotonic seconds.
 
     `holder` counts the bytes held in memory for it.
@@ -33,70 +33,70 @@
     headers: HTTPHeaders
     body: RequestBody
     plan: RequestPlan
-    passage: Passage
+    forwarding: ForwardingContext
     expires: float
     holder: Holder
 
 
 def list_fields(
-    order: Order,
+    planned: PlannedRequest,
     dialect: TargetDialect,
     send: Send,
     remaining: float,
 ) -> Fields:
     """Return the headers of an attempt with the body's length, if known."""
-    fields = pass_request(order.headers, order.passage)
-    dialect.add_fields(fields, order.plan, send, remaining)
-    length = find_length(order)
+    fields = forward_request_fields(planned.headers, planned.forwarding)
+    dialect.add_fields(fields, planned.plan, send, remaining)
+    length = compute_body_length(planned)
     if length is not None:
         fields.add(_LENGTH, str(length))
     return fields
 
 
-def describe_likeness(order: Order) -> Likeness:
+def describe_identity(planned: PlannedRequest) -> Likeness:
     """Return the properties by which a repeated request is recognized.
 
     Of a streamed body, only the part received so far counts.
     """
     return Likeness(
-        order.start_line.method,
-        order.headers.get('Host', ''),
-        order.start_line.path,
-        order.plan.account,
-        order.body.join(),
+        planned.start_line.method,
+        planned.headers.get('Host', ''),
+        planned.start_line.path,
+        planned.plan.account,
+        planned.body.join(),
     )
 
 
-def find_length(order: Order) -> int | None:
+def compute_body_length(planned: PlannedRequest) -> int | None:
     """Return the body's length in bytes; None if it has none or is unknown."""
-    if not order.body.streamed:
-        if order.body.size or order.start_line.method in _BODY_METHODS:
-            return order.body.size
+    if not planned.body.streamed:
+        if planned.body.size or planned.start_line.method in _BODY_METHODS:
+            return planned.body.size
         return None
-    announced = order.headers.get(_LENGTH)
+    announced = planned.headers.get(_LENGTH)
     return None if announced is None else int(announced)
 
 
-def find_reserve(order: Order, part_size: int) -> tuple[int, int]:
+def compute_reserve(planned: PlannedRequest, part_size: int) -> tuple[int, int]:
     """Return the bytes held at a time, and those of the whole body.
 
     A body of unknown length counts as 0 here: it is counted as it arrives.
     """
-    if not has_body(order.headers):
+    if not has_body(planned.headers):
         return 0, 0
     streamed = STREAMED_PARTS * part_size
-    announced = order.headers.get(_LENGTH)
+    announced = planned.headers.get(_LENGTH)
     if announced is None:
         return streamed, 0
     length = int(announced)
     return min(COPIES * length, streamed), length
 
 
-def needs_length(order: Order) -> bool:
+def needs_length(planned: PlannedRequest) -> bool:
     """Return whether streaming needs a length: tornado chunks few methods."""
-    if order.start_line.method in _BODY_METHODS:
+    if planned.start_line.method in _BODY_METHODS:
         return False
-    return order.body.streamed and _LENGTH not in order.headers
+    return planned.body.streamed and _LENGTH not in planned.headers
 
 
 def has_body(headers: HTTPHeaders) -> bool:
--- a/hillfield/proxy/planning.py
+++ b/hillfield/proxy/planning.py
@@ -11,31 +11,35 @@
 from hillfield.proxy.context import ProxyContext
 from hillfield.proxy.failures import Fault
 from hillfield.proxy.heads import (
-    Passage,
+    ForwardingContext,
     read_deadline,
     read_path,
     read_request_head,
     read_request_id,
 )
-from hillfield.proxy.identifiers import find_request_id
-from hillfield.proxy.orders import Order, find_reserve, has_body
+from hillfield.proxy.identifiers import assign_request_id
+from hillfield.proxy.plannedrequests import (
+    PlannedRequest,
+    compute_reserve,
+    has_body,
+)
 
 
-class Naming(Struct, frozen=True):
+class RequestIds(Struct, frozen=True):
     """Ids of a request: the one that others see, and this node's own key."""
 
     request: str
     key: str
 
 
-def plan_order(
+def plan_request(
     context: ProxyContext,
     start_line: RequestStartLine,
     headers: HTTPHeaders,
     body: RequestBody,
-    naming: Naming,
-    came: float,
-) -> Result[Order, RequestFailure]:
+    ids: RequestIds,
+    received_at: float,
+) -> Result[PlannedRequest, RequestFailure]:
     """Return what each attempt sends, or the failure to answer with.
 
     The deadline counts from `received_at`, when the head had arrived.
@@ -56,48 +60,54 @@
     if deadline <= 0:
         return Error(Fault.DEADLINE_NOT_RUN.failure('the deadline is 0'))
     return Ok(
-        Order(
+        PlannedRequest(
             start_line._replace(path=read_path(start_line.path)),
             headers,
             body,
             plan,
-            Passage(
-                naming.request,
-                naming.key,
+            ForwardingContext(
+                ids.request,
+                ids.key,
                 context.settings.node,
                 dialect.removed,
                 dialect.key_scheme,
             ),
-            came + deadline,
+            received_at + deadline,
             Holder(context.settings.budget, plan.account),
         ),
     )
 
 
-def name_request(headers: HTTPHeaders, context: ProxyContext) -> Naming:
+def assign_ids(headers: HTTPHeaders, context: ProxyContext) -> RequestIds:
     """Return the ids of a request; its key is unique among those in flight."""
-    key = find_request_id(headers, context.takers)
+    key = assign_request_id(headers, context.in_flight)
     if context.settings.callers.keeps_ids:
-        return Naming(read_request_id(headers) or key, key)
-    return Naming(key, key)
+        return RequestIds(read_request_id(headers) or key, key)
+    return RequestIds(key, key)
 
 
-def rename_order(order: Order, context: ProxyContext) -> Order:
+def renew_ids(planned: PlannedRequest, context: ProxyContext) -> PlannedRequest:
     """Return a request that has waited with an id that is free now."""
-    naming = name_request(order.headers, context)
-    passage = replace(order.passage, request=naming.request, key=naming.key)
-    return replace(order, passage=passage)
+    ids = assign_ids(planned.headers, context)
+    forwarding = replace(planned.forwarding, request=ids.request, key=ids.key)
+    return replace(planned, forwarding=forwarding)
 
 
-def reserve_bytes(order: Order, part_size: int) -> RequestFailure | None:
+def reserve_bytes(
+    planned: PlannedRequest,
+    part_size: int,
+) -> RequestFailure | None:
     """Reserve memory for a request before its body is read, or refuse it."""
-    detail = order.holder.reserve(*find_reserve(order, part_size))
+    detail = planned.holder.reserve(*compute_reserve(planned, part_size))
     if not detail:
         return None
     return Fault.BYTES.failure(detail, retry_after=COME_BACK)
 
 
-def runs_beside(order: Order | None, headers: HTTPHeaders) -> bool:
+def may_run_concurrently(
+    planned: PlannedRequest | None,
+    headers: HTTPHeaders,
+) -> bool:
     """Return whether a request may run before the answers ahead are sent.
 
     If the connection ended within an earlier answer, a request that must run
@@ -107,6 +117,6 @@
     """
     if 'Upgrade' in headers or 'Expect' in headers or has_body(headers):
         return False
-    if order is None:
+    if planned is None:
         return True
-    return order.plan.idempotent and order.plan.aim > 0
+    return planned.plan.idempotent and planned.plan.aim > 0
--- a/hillfield/proxy/wakes.py
+++ b/hillfield/proxy/polltimers.py
@@ -11,7 +11,7 @@
 _SHORTEST: Final = 0.001
 
 
-class Wakes:
+class PollTimers:
     """One timer for each dispatcher with requests that wait.
 
     Without it a request that waits for the end of a back-off would wait for the
@@ -23,7 +23,7 @@
         self._poll = poll
         self._timers: dict[int, tuple[float, TimerHandle]] = {}
 
-    def follow(self, dispatching: Dispatching) -> None:
+    def schedule(self, dispatching: Dispatching) -> None:
         """Schedule a poll for when the dispatcher is due next."""
         due = dispatching.next_due()
         if due is None:
--- a/hillfield/proxy/pool.py
+++ b/hillfield/proxy/pool.py
@@ -11,20 +11,19 @@
 
 from hillfield.model import Address, TargetId
 from hillfield.proxy.settings import ProxySettings
-from hillfield.proxy.streams import PromptStream
+from hillfield.proxy.streams import NoDelayStream
 from hillfield.timers import wait_until_read
 
-
 # Seconds before the end of a target's keep-alive timeout in which an idle
 # connection is not reused: a request that crosses the close may have run, and
 # counts against the target.
-CLOSING: Final = 0.1
+CLOSE_MARGIN: Final = 0.1
 
 
-class IdleLink(Struct, frozen=True):
+class IdleConnection(Struct, frozen=True):
     """Idle connection, usable until `until` in loop seconds."""
 
-    stream: PromptStream
+    stream: NoDelayStream
     until: float
 
 
@@ -38,46 +37,51 @@
     def __init__(self, settings: ProxySettings) -> None:
         """Start without connections."""
         self._settings = settings
-        self._idle: dict[TargetId, deque[IdleLink]] = {}
+        self._idle: dict[TargetId, deque[IdleConnection]] = {}
         self._retired: dict[TargetId, float] = {}
 
     def release(
         self,
         target: TargetId,
-        stream: PromptStream,
-        kept: float | None = None,
+        stream: NoDelayStream,
+        keep_alive: float | None = None,
     ) -> None:
         """Keep a connection whose exchange ended without an error, or close it.
 
-        `kept` is the other end's keep-alive timeout in seconds, if announced.
+        `keep_alive` is the other end's idle timeout in seconds, if announced.
         """
-        links = self._idle.setdefault(target, deque())
-        full = len(links) >= self._settings.pool_idle_limit
+        connections = self._idle.setdefault(target, deque())
+        full = len(connections) >= self._settings.pool_idle_limit
         if full or target in self._retired or stream.unread:
             stream.close()
             return
         if stream.closed():
             return
         stream.proven_at = get_running_loop().time()
-        links.append(IdleLink(stream, stream.proven_at + self._bound(kept)))
+        connections.append(
+            IdleConnection(
+                stream,
+                stream.proven_at + self._limit_idle_time(keep_alive),
+            ),
+        )
 
     def retire(self, target: TargetId) -> None:
         """Close a leaving target's idle connections; leave those in use."""
         self._retired[target] = get_running_loop().time()
-        for link in self._idle.pop(target, ()):
-            link.stream.close()
+        for idle in self._idle.pop(target, ()):
+            idle.stream.close()
 
     def drop(self, target: TargetId) -> None:
         """Close a target's idle connections; new ones may be opened."""
-        for link in self._idle.pop(target, ()):
-            link.stream.close()
+        for idle in self._idle.pop(target, ()):
+            idle.stream.close()
 
     def sweep(self, now: float) -> None:
         """Close connections idle for too long; `now` is in loop seconds."""
-        for target, links in tuple(self._idle.items()):
-            while links and links[0].until < now:
-                links.popleft().stream.close()
-            if not links:
+        for target, connections in tuple(self._idle.items()):
+            while connections and connections[0].until < now:
+                connections.popleft().stream.close()
+            if not connections:
                 self._idle.pop(target)
         for target, since in tuple(self._retired.items()):
             if since < now - self._settings.drain_timeout:
@@ -88,19 +92,19 @@
         for target in tuple(self._idle):
             self.retire(target)
 
-    def reuse(self, target: TargetId) -> PromptStream | None:
+    def reuse(self, target: TargetId) -> NoDelayStream | None:
         """Return an idle connection that is open and clean, if there is one."""
         self._retired.pop(target, None)
-        links = self._idle.get(target)
+        connections = self._idle.get(target)
         now = get_running_loop().time()
-        while links:
-            link = links.pop()
-            if now < link.until and _is_clean(link.stream):
-                return link.stream
-            link.stream.close()
+        while connections:
+            idle = connections.pop()
+            if now < idle.until and _is_clean(idle.stream):
+                return idle.stream
+            idle.stream.close()
         return None
 
-    async def connect(self, address: Address) -> Result[PromptStream, str]:
+    async def connect(self, address: Address) -> Result[NoDelayStream, str]:
         """Open a connection; the error says why it failed.
 
         Where targets are reached through the nodes beside them, the connection
@@ -130,20 +134,24 @@
         self.release(target, stream)
         return False
 
-    def _bound(self, kept: float | None) -> float:
+    def _limit_idle_time(self, keep_alive: float | None) -> float:
         """Return the seconds for which a connection may be reused."""
         longest = self._settings.pool_idle_timeout
-        return longest if kept is None else min(longest, kept - CLOSING)
+        return (
+            longest
+            if keep_alive is None
+            else min(longest, keep_alive - CLOSE_MARGIN)
+        )
 
-    async def _open(self, address: Address) -> PromptStream:
+    async def _open(self, address: Address) -> NoDelayStream:
         """Open a connection; raises StreamClosedError or TimeoutError."""
         gate_port = self._settings.gate_port
         if gate_port is not None:
             address = Address(address.ip, gate_port)
         family = socket.AF_INET6 if ':' in address.ip else socket.AF_INET
-        link = socket.socket(family, socket.SOCK_STREAM)
-        link.setblocking(False)  # noqa: WPS425 the library's own order
-        stream = PromptStream(link, self._settings)
+        sock = socket.socket(family, socket.SOCK_STREAM)
+        sock.setblocking(False)  # noqa: WPS425 the library's own order
+        stream = NoDelayStream(sock, self._settings)
         connected = stream.connect((address.ip, address.port))
         await wait((connected,), timeout=self._settings.connect_timeout)
         if not connected.done():
@@ -154,7 +162,7 @@
         return connected.result()
 
 
-def _is_clean(stream: PromptStream) -> bool:
+def _is_clean(stream: NoDelayStream) -> bool:
     """Return whether the connection is open without unexpected bytes."""
     if stream.closed() or stream.unread:
         return False
--- a/hillfield/proxy/replies.py
+++ b/hillfield/proxy/replies.py
@@ -13,16 +13,16 @@
 from hillfield.proxy.answers import list_fields, render_body, render_start
 from hillfield.proxy.dialects import CallerDialect
 from hillfield.proxy.fields import Fields
-from hillfield.proxy.heads import Passage, pass_answer
+from hillfield.proxy.heads import ForwardingContext, forward_answer_fields
 from hillfield.proxy.incoming import IncomingAnswer
+from hillfield.proxy.slots import ResponseSlot
 from hillfield.proxy.streams import CallerStream
-from hillfield.proxy.turns import Turn
 from hillfield.proxy.writing import AnswerWriter
 
 _LENGTH: Final = 'Content-Length'
 _NO_CONTENT: Final = 204
 _BODILESS: Final = frozenset((_NO_CONTENT, 304))
-_SIGN: Final = b'HTTP/1.1 102 Processing\r\n\r\n'
+_KEEPALIVE: Final = b'HTTP/1.1 102 Processing\r\n\r\n'
 
 
 class Reply:
@@ -38,15 +38,15 @@
         connection: HTTP1Connection,
         stream: CallerStream,
         dialect: CallerDialect,
-        turn: Turn,
+        slot: ResponseSlot,
     ) -> None:
         """Prepare the answer to the next request."""
         self.connection = connection
-        self.turn = turn
-        self.writer = AnswerWriter(connection, stream, turn)
+        self.slot = slot
+        self.writer = AnswerWriter(connection, stream, slot)
         self.begun = False
         self.method = ''
-        self.came = stream.came
+        self.received_at = stream.received_at
         self.chunks = True
         self._stream = stream
         self._dialect = dialect
@@ -59,13 +59,13 @@
     ) -> None:
         """Set how the answer is written according to the request's head."""
         self.method = start_line.method
-        self.came = self._stream.came
+        self.received_at = self._stream.received_at
         asked = headers.get('Connection', '').lower()
-        self.turn.closing = draining or 'close' in asked
+        self.slot.closing = draining or 'close' in asked
         if start_line.version == 'HTTP/1.0':
             # An HTTP/1.0 caller detects the end of an answer of unknown
             # length only by the end of the connection.
-            self.turn.closing = True
+            self.slot.closing = True
             self.chunks = False
             headers.pop('Connection', None)
 
@@ -80,9 +80,13 @@
         )
         self._answer(render_start(failure.status), fields, body)
 
-    def send_whole(self, answer: IncomingAnswer, passage: Passage) -> None:
+    def send_complete(
+        self,
+        answer: IncomingAnswer,
+        forwarding: ForwardingContext,
+    ) -> None:
         """Forward an answer that is complete in memory."""
-        fields = pass_answer(answer.headers, passage)
+        fields = forward_answer_fields(answer.headers, forwarding)
         body = bytes(answer.held)
         if self.method == 'HEAD' or answer.start_line.code in _BODILESS:
             _keep_length(fields, answer)
@@ -93,10 +97,10 @@
     def begin(
         self,
         answer: IncomingAnswer,
-        passage: Passage,
+        forwarding: ForwardingContext,
     ) -> 'Future[None]':
         """Forward the head and the buffered part; `write_part` follows."""
-        fields = pass_answer(answer.headers, passage)
+        fields = forward_answer_fields(answer.headers, forwarding)
         _keep_length(fields, answer)
         part = bytes(answer.held)
         answer.held.clear()
@@ -104,40 +108,43 @@
         framed = bodiless or answer.has_length()
         self.writer.chunked = self.chunks and not framed
         self._begin(fields)
-        return self.turn.put(
+        return self.slot.write_part(
             partial(self.writer.write_head, answer.start_line, fields, part),
             len(part),
         )
 
-    def send_sign(self) -> None:
+    def send_keepalive(self) -> None:
         """Write an interim answer as a keepalive, unless the answer has begun.
 
         While earlier answers are pending it would be read as part of theirs.
         """
-        if self.turn.come and not (self.begun or self._stream.closed()):
-            self._stream.write(_SIGN)
+        if self.slot.is_open and not (self.begun or self._stream.closed()):
+            self._stream.write(_KEEPALIVE)
 
-    def watch(self, callback: Callable[[], None]) -> None:
+    def watch_close(self, callback: Callable[[], None]) -> None:
         """Call back if the caller closes while its request is still read."""
         self._stream.set_close_callback(callback)
 
     def write_part(self, part: bytes) -> 'Future[None]':
         """Forward a part; the future applies backpressure."""
-        return self.turn.put(partial(self.writer.write_part, part), len(part))
+        return self.slot.write_part(
+            partial(self.writer.write_part, part),
+            len(part),
+        )
 
     def end(self) -> None:
         """End a complete answer."""
-        self.turn.run(self.writer.end)
+        self.slot.write(self.writer.end)
 
     def abort(self) -> bool:
         """Stop an answer so that the caller can see that it is incomplete.
 
         Return whether another can be sent: nothing of it was written yet.
         """
-        if self.turn.come:
-            self.writer.cut()
+        if self.slot.is_open:
+            self.writer.abort()
             return False
-        self.turn.drop()
+        self.slot.discard()
         self.writer.chunked = False
         self.begun = False
         return True
@@ -156,8 +163,8 @@
     ) -> None:
         self._begin(fields)
         sent = b'' if self.method == 'HEAD' else body
-        self.turn.run(
-            partial(self.writer.write_whole, start_line, fields, sent),
+        self.slot.write(
+            partial(self.writer.write_complete, start_line, fields, sent),
             len(sent),
         )
 
--- a/hillfield/proxy/requests.py
+++ b/hillfield/proxy/requests.py
@@ -17,15 +17,19 @@
 from hillfield.proxy.bodies import RequestBody
 from hillfield.proxy.context import ProxyContext
 from hillfield.proxy.exchanges import Exchange
-from hillfield.proxy.failures import Fault, describe_stray
+from hillfield.proxy.failures import Fault, describe_unexpected
 from hillfield.proxy.guards import run_guarded
-from hillfield.proxy.orders import Order, has_body, needs_length
+from hillfield.proxy.plannedrequests import (
+    PlannedRequest,
+    has_body,
+    needs_length,
+)
 from hillfield.proxy.planning import (
-    name_request,
-    plan_order,
-    rename_order,
+    assign_ids,
+    may_run_concurrently,
+    plan_request,
+    renew_ids,
     reserve_bytes,
-    runs_beside,
 )
 from hillfield.proxy.replies import Reply
 
@@ -40,7 +44,7 @@
         self._request = ''
         self._body = RequestBody(context.settings.held_body)
         self._refusal: RequestFailure | None = None
-        self._order: Order | None = None
+        self._planned: PlannedRequest | None = None
         self._exchange: Exchange | None = None
 
     def headers_received(
@@ -57,55 +61,58 @@
             return None
         self.reply.adapt(start_line, headers, self._context.draining)
         run_guarded(
-            partial(self._take_head, start_line, headers),
-            self._fail_stray,
+            partial(self._receive_head, start_line, headers),
+            self._handle_error,
         )
-        turn = self.reply.turn
-        turn.join(self.on_connection_close)
-        if self._context.settings.pipeline_depth > 1 and not turn.closing:
-            self.reply.writer.early = runs_beside(self._order, headers)
-        if turn.come or self.reply.writer.early:
-            run_guarded(partial(self._begin, headers), self._fail_stray)
+        slot = self.reply.slot
+        slot.join(self.on_connection_close)
+        if self._context.settings.pipeline_depth > 1 and not slot.closing:
+            self.reply.writer.concurrent = may_run_concurrently(
+                self._planned,
+                headers,
+            )
+        if slot.is_open or self.reply.writer.concurrent:
+            run_guarded(partial(self._begin, headers), self._handle_error)
             return None
-        return self._begin_in_turn(headers)
+        return self._begin_in_order(headers)
 
     def data_received(self, chunk: bytes) -> 'Future[None] | None':
         """Receive a part of the body; the future applies backpressure."""
-        taken = self._body.put(chunk)
+        consumed = self._body.add(chunk)
         exchange = self._exchange
-        if self._order is None or exchange is None or exchange.closed:
+        if self._planned is None or exchange is None or exchange.closed:
             self._body.discard()
             return None
-        self._order.holder.note_body(self._body.size)
+        self._planned.holder.note_body(self._body.size)
         if self._body.size > self._context.settings.body_limit:
             _fail_reading(
                 exchange,
                 Fault.BODY_TOO_LARGE,
                 'the body exceeds the size limit',
             )
-        elif taken is not None and not exchange.started:
-            self._start_streaming(self._order, exchange)
-        return taken
+        elif consumed is not None and not exchange.started:
+            self._start_streaming(self._planned, exchange)
+        return consumed
 
     def finish(self) -> None:
         """Receive the end of the request."""
         self._body.end()
         self.reply.connection.set_close_callback(self.on_connection_close)
-        self.reply.writer.note_read()
+        self.reply.writer.record_request_end()
         exchange = self._exchange
         if self._refusal is not None:
             self._refuse(self._refusal)
         elif exchange is not None and not exchange.started:
-            run_guarded(partial(exchange.start, True), self._fail_stray)
+            run_guarded(partial(exchange.start, True), self._handle_error)
 
     def on_connection_close(self) -> None:
         """Cancel the request after the caller closed the connection."""
         self._body.discard()
-        self.reply.turn.drop()
-        if self._order is not None:
-            self._order.holder.release()
+        self.reply.slot.discard()
+        if self._planned is not None:
+            self._planned.holder.release()
         if self._exchange is not None:
-            self._exchange.leave()
+            self._exchange.cancel()
 
     def refuse(self, failure: RequestFailure) -> RequestFailure | None:
         """Cancel a request whose body is malformed.
@@ -115,7 +122,7 @@
         exchange = self._exchange
         started = exchange is not None and exchange.started
         if exchange is not None:
-            exchange.leave()
+            exchange.cancel()
         if self.reply.begun:
             return None
         self.reply.begun = True
@@ -123,72 +130,78 @@
             return replace(failure, outcome=Outcome.UNKNOWN)
         return failure
 
-    def _take_head(
+    def _receive_head(
         self,
         start_line: RequestStartLine,
         headers: HTTPHeaders,
     ) -> None:
-        naming = name_request(headers, self._context)
-        self._request = naming.request
-        planned = plan_order(
+        ids = assign_ids(headers, self._context)
+        self._request = ids.request
+        outcome = plan_request(
             self._context,
             start_line,
             headers,
             self._body,
-            naming,
-            self.reply.came,
+            ids,
+            self.reply.received_at,
         )
-        if planned.is_ok():
-            self._order = planned.ok
+        if outcome.is_ok():
+            self._planned = outcome.ok
         else:
-            self._refusal = planned.error
+            self._refusal = outcome.error
 
     def _begin(self, headers: HTTPHeaders) -> None:
-        order = self._order
-        if order is not None:
+        planned = self._planned
+        if planned is not None:
             part_size = self._context.settings.part_size
-            self._refusal = reserve_bytes(order, part_size)
-        if order is not None and self._refusal is None:
-            self.reply.writer.holder = order.holder
-            self._exchange = Exchange(self._context, order, self.reply)
+            self._refusal = reserve_bytes(planned, part_size)
+        if planned is not None and self._refusal is None:
+            self.reply.writer.holder = planned.holder
+            self._exchange = Exchange(self._context, planned, self.reply)
         elif self._refusal is not None and has_body(headers):
             # Tornado must not send 100 Continue after the answer.
             headers.pop('Expect', None)
             self._refuse(self._refusal)
 
-    async def _begin_in_turn(self, headers: HTTPHeaders) -> None:
-        came = await self.reply.turn.wait()
-        late = self._order is not None and self._order.expires <= monotonic()
-        if late or not came:
-            self._order = None
-        elif self._order is not None:
+    async def _begin_in_order(self, headers: HTTPHeaders) -> None:
+        opened = await self.reply.slot.wait()
+        late = (
+            self._planned is not None and self._planned.expires <= monotonic()
+        )
+        if late or not opened:
+            self._planned = None
+        elif self._planned is not None:
             # Another request may have taken its id while it waited.
-            self._order = rename_order(self._order, self._context)
-        if not came:
+            self._planned = renew_ids(self._planned, self._context)
+        if not opened:
             self._refusal = None
         elif late:
             self._refusal = Fault.DEADLINE_NOT_RUN.failure(
                 'the requests before it on the connection took too long',
             )
-        run_guarded(partial(self._begin, headers), self._fail_stray)
+        run_guarded(partial(self._begin, headers), self._handle_error)
 
-    def _fail_stray(self, error: Exception) -> None:
+    def _handle_error(self, error: Exception) -> None:
         if self._exchange is None:
-            self._refusal = describe_stray(error)
+            self._refusal = describe_unexpected(error)
             self._body.discard()
         else:
-            self._exchange.note_stray(error)
+            self._exchange.handle_error(error)
 
-    def _start_streaming(self, order: Order, exchange: Exchange) -> None:
-        if needs_length(order):
+    def _start_streaming(
+        self,
+        planned: PlannedRequest,
+        exchange: Exchange,
+    ) -> None:
+        if needs_length(planned):
             _fail_reading(
                 exchange,
                 Fault.LENGTH_REQUIRED,
                 'a body of this size needs a Content-Length',
             )
             return
-        self.reply.watch(self.on_connection_close)
-        run_guarded(partial(exchange.start, False), self._fail_stray)
+        self.reply.watch_close(self.on_connection_close)
+        run_guarded(partial(exchange.start, False), self._handle_error)
 
     def _refuse(self, failure: RequestFailure) -> None:
         if self.reply.begun:
--- a/hillfield/proxy/tools.py
+++ b/hillfield/proxy/resources.py
@@ -10,7 +10,7 @@
 from hillfield.routing.requests import Send
 
 
-class AttemptTools(Struct, frozen=True):
+class AttemptResources(Struct, frozen=True):
     """Components that every attempt of a request uses."""
 
     pool: Pool
@@ -18,13 +18,17 @@
     dispatching: Dispatching
 
 
-def note_head(tools: AttemptTools, send: Send, headers: HTTPHeaders) -> None:
+def record_answer_head(
+    resources: AttemptResources,
+    send: Send,
+    headers: HTTPHeaders,
+) -> None:
     """Record the head of an attempt's answer, and the capacity it reports.
 
     The decision on the attempt then uses the capacity reported with it.
     """
     now = monotonic()
-    tools.dispatching.note_head(now, send.attempt)
-    report = tools.settings.targets.read_room(send.target, headers)
+    resources.dispatching.note_head(now, send.attempt)
+    report = resources.settings.targets.read_room(send.target, headers)
     if report is not None:
-        tools.dispatching.adopt_report(now, report)
+        resources.dispatching.adopt_report(now, report)
--- a/hillfield/proxy/running.py
+++ b/hillfield/proxy/running.py
@@ -9,11 +9,11 @@
 from hillfield.model import RequestFailure
 from hillfield.proxy.attempts import Attempt, AttemptOwner
 from hillfield.proxy.context import ProxyContext
-from hillfield.proxy.courses import Course
 from hillfield.proxy.dialects import show_milliseconds
 from hillfield.proxy.guards import run_guarded
-from hillfield.proxy.orders import Order, describe_likeness
-from hillfield.proxy.tools import AttemptTools
+from hillfield.proxy.plannedrequests import PlannedRequest, describe_identity
+from hillfield.proxy.resources import AttemptResources
+from hillfield.proxy.summaries import AttemptSummary
 from hillfield.routing.declining import Declined
 from hillfield.routing.ports import Dispatching
 from hillfield.routing.requests import (
@@ -32,8 +32,8 @@
 # slots become free about this often.
 HEDGE_AGAIN: Final = 0.1
 # Observations of a complete answer.
-_WHOLE: Final = (Answered, Shed)
-_SURELY_NOT_RUN: Final = (Shed, Declined)
+_COMPLETE: Final = (Answered, Shed)
+_CERTAINLY_NOT_RUN: Final = (Shed, Declined)
 
 
 class RunningAttempts:
@@ -46,32 +46,32 @@
     def __init__(
         self,
         context: ProxyContext,
-        order: Order,
+        planned: PlannedRequest,
         dispatching: Dispatching,
-        course: Course,
+        summary: AttemptSummary,
     ) -> None:
         """Start without attempts."""
-        self._course = course
-        self._order = order
+        self._summary = summary
+        self._planned = planned
         self._hedge_timer: TimerHandle | None = None
         self.attempts: dict[int, Attempt] = {}
         self.may_have_run = False
         self.target_seconds = float()
-        self._reason = ''
+        self._last_end = ''
         self._fingerprint = b''
         self._context = context
         self._dispatching = dispatching
-        self._tools = AttemptTools(
+        self._resources = AttemptResources(
             context.pool,
             context.settings,
             dispatching,
         )
         self._tasks: set[Task[None]] = set()
 
-    def identify(self) -> bytes:
+    def compute_fingerprint(self) -> bytes:
         """Compute and keep the fingerprint of the request after its body."""
         guard = self._context.guard
-        self._fingerprint = guard.identify(describe_likeness(self._order))
+        self._fingerprint = guard.identify(describe_identity(self._planned))
         return self._fingerprint
 
     def find_refusal(self) -> RequestFailure | None:
@@ -97,37 +97,37 @@
             now = monotonic()
             self._dispatching.finish(now, send.attempt, CallerGone())
             return refusal
-        self._course.note_sent(send)
-        attempt = Attempt(send, self._order, self._tools, owner)
+        self._summary.record_sent(send)
+        attempt = Attempt(send, self._planned, self._resources, owner)
         self.attempts[send.attempt] = attempt
-        if self._reason:
-            self._note_retry(send)
-        run_guarded(attempt.begin, owner.note_stray)
+        if self._last_end:
+            self._record_retry(send)
+        run_guarded(attempt.begin, owner.handle_error)
         task = create_task(attempt.run())
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
-        if not self._order.body.streamed:
-            self._time_hedge(owner)
+        if not self._planned.body.streamed:
+            self._schedule_hedge(owner)
         return None
 
     def finish(self, attempt: Attempt, observation: Observation) -> Verdict:
         """Report the end of an attempt and return the decision that follows."""
         self.attempts.pop(attempt.send.attempt, None)
         now = monotonic()
-        self._reason = type(observation).__name__
-        self._course.note(attempt.written_at, observation)
-        if isinstance(observation, _WHOLE):
-            self.hear(attempt)
+        self._last_end = type(observation).__name__
+        self._summary.record_end(attempt.written_at, observation)
+        if isinstance(observation, _COMPLETE):
+            self.report_notice(attempt)
         if attempt.written_at is not None:
             self.target_seconds += now - attempt.written_at
-            self.may_have_run |= not isinstance(observation, _SURELY_NOT_RUN)
+            self.may_have_run |= not isinstance(observation, _CERTAINLY_NOT_RUN)
         return self._dispatching.finish(
             now,
             attempt.send.attempt,
             observation,
         )
 
-    def hear(self, attempt: Attempt) -> None:
+    def report_notice(self, attempt: Attempt) -> None:
         """Report the target's notice once its answer is accepted."""
         notice = attempt.answer.notice
         if notice is not None:
@@ -136,69 +136,72 @@
             number = attempt.send.attempt
             self._dispatching.note_notice(now, number, notice)
 
-    def cut(self, winner: Attempt | None = None) -> None:
+    def cancel_attempts(self, winner: Attempt | None = None) -> None:
         """Cancel all attempts except the winner."""
         if self._hedge_timer is not None:
             self._hedge_timer.cancel()
         for attempt in tuple(self.attempts.values()):
             if attempt is not winner:
-                attempt.cut()
+                attempt.abort()
                 self.finish(attempt, CallerGone())
 
     def expire(self) -> RequestFailure | None:
         """End all attempts at the deadline; return the failure, if any."""
         refusal = None
         for attempt in tuple(self.attempts.values()):
-            attempt.cut()
-            verdict = self.finish(attempt, _observe_expiry(attempt))
-            if isinstance(verdict, Refuse):
-                refusal = verdict.failure
+            attempt.abort()
+            decision = self.finish(attempt, _observe_expiry(attempt))
+            if isinstance(decision, Refuse):
+                refusal = decision.failure
         return refusal
 
-    def _note_retry(self, send: Send) -> None:
-        self._context.meter.note_retry(self._reason)
-        left = show_milliseconds(self._order.expires - monotonic())
+    def _record_retry(self, send: Send) -> None:
+        self._context.meter.note_retry(self._last_end)
+        left = show_milliseconds(self._planned.expires - monotonic())
         self._context.journal.record(
             Occurrence(
                 EventCode.REQUEST_SENT_ON,
-                service=self._order.plan.service,
+                service=self._planned.plan.service,
                 target=str(send.target),
-                request=self._order.passage.request,
-                detail=f'after {self._reason}, {left} ms left',
+                request=self._planned.forwarding.request,
+                detail=f'after {self._last_end}, {left} ms left',
             ),
         )
 
-    def _time_hedge(self, owner: AttemptOwner) -> None:
-        delay = self._dispatching.find_hedge_delay(self._order.plan)
+    def _schedule_hedge(self, owner: AttemptOwner) -> None:
+        delay = self._dispatching.find_hedge_delay(self._planned.plan)
         if delay is not None:
-            self._await_hedge(delay, owner)
+            self._start_hedge_timer(delay, owner)
 
-    def _await_hedge(self, delay: float, owner: AttemptOwner) -> None:
+    def _start_hedge_timer(self, delay: float, owner: AttemptOwner) -> None:
         if self._hedge_timer is not None:
             self._hedge_timer.cancel()
         self._hedge_timer = get_running_loop().call_later(
             delay,
             run_guarded,
             partial(self._hedge, owner),
-            owner.note_stray,
+            owner.handle_error,
         )
 
     def _hedge(self, owner: AttemptOwner) -> None:
-        heads = [
+        statuses = [
             attempt.answer.start_line.code for attempt in self.attempts.values()
         ]
-        if heads != [0]:
+        if statuses != [0]:
             return
-        send = self._dispatching.hedge(monotonic(), self._order.passage.key)
+        send = self._dispatching.hedge(
+            monotonic(),
+            self._planned.forwarding.key,
+        )
         if send is None:
-            self._await_hedge(HEDGE_AGAIN, owner)
+            self._start_hedge_timer(HEDGE_AGAIN, owner)
             return
         self._context.journal.record(
             Occurrence(
                 EventCode.HEDGE_SENT,
-                service=self._order.plan.service,
+                service=self._planned.plan.service,
                 target=str(send.target),
-                request=self._order.passage.request,
+                request=self._planned.forwarding.request,
             ),
         )
         self.launch(send, owner)
@@ -206,5 +209,5 @@
 
 def _observe_expiry(attempt: Attempt) -> Observation:
     if attempt.written_at is not None:
-        return TimedOut(attempt.answer.relaying)
+        return TimedOut(attempt.answer.is_forwarded)
     return NothingWritten('deadline passed')
--- a/hillfield/proxy/sending.py
+++ b/hillfield/proxy/sending.py
@@ -9,7 +9,7 @@
 from hillfield.clocks import monotonic
 from hillfield.proxy.dialects import TargetDialect
 from hillfield.proxy.fields import Fields
-from hillfield.proxy.orders import Order, list_fields
+from hillfield.proxy.plannedrequests import PlannedRequest, list_fields
 from hillfield.routing.requests import Send
 
 _LAST_CHUNK: Final = b'0\r\n\r\n'
@@ -25,7 +25,7 @@
 
     def __init__(
         self,
-        order: Order,
+        planned: PlannedRequest,
         connection: HTTP1Connection,
         dialect: TargetDialect,
         send: Send,
@@ -33,30 +33,30 @@
         """Initialize; nothing is written yet."""
         self.sent = False
         self.connection = connection
-        self._order = order
+        self._planned = planned
         self._dialect = dialect
         self._send = send
         self._writer: Task[None] | None = None
 
     def start(self) -> None:
         """Write the head, and as much of the body as has arrived."""
-        order = self._order
+        planned = self._planned
         fields = self._list_fields()
-        if order.body.streamed:
+        if planned.body.streamed:
             self._write_head(fields)
             self._writer = create_task(self._write_body())
             return
-        if order.start_line.method == 'HEAD':
+        if planned.start_line.method == 'HEAD':
             # Written by tornado, so that it expects no body in the answer.
             self._write_head(fields)
         else:
             head = self._render(fields)
-            self.connection.stream.write(head + order.body.join())
+            self.connection.stream.write(head + planned.body.join())
         self._finish()
 
-    def announce(self) -> None:
+    def write_head_only(self) -> None:
         """Write a head that asks whether the rest may follow."""
-        body = self._order.body
+        body = self._planned.body
         fields = self._list_fields()
         fields.add('Expect', '100-continue')
         if body.streamed:
@@ -68,9 +68,9 @@
             fields.add('Transfer-Encoding', 'chunked')
         self.connection.stream.write(self._render(fields))
 
-    def go_on(self) -> None:
+    def write_rest(self) -> None:
         """Write the rest; from now on the request may run."""
-        body = self._order.body
+        body = self._planned.body
         if body.streamed:
             self._writer = create_task(self._write_body())
             return
@@ -84,36 +84,36 @@
             self._writer.cancel()
 
     def _list_fields(self) -> Fields:
-        order = self._order
+        planned = self._planned
         return list_fields(
-            order,
+            planned,
             self._dialect,
             self._send,
-            order.expires - monotonic(),
+            planned.expires - monotonic(),
         )
 
     def _render(self, fields: Fields) -> bytes:
-        line = self._order.start_line
+        line = self._planned.start_line
         return fields.render(f'{line.method} {line.path} HTTP/1.1')
 
     def _write_head(self, fields: Fields) -> None:
         self.connection.write_headers(
-            self._order.start_line,
+            self._planned.start_line,
             fields.to_headers(),
         )
 
     async def _write_body(self) -> None:
-        body = self._order.body
-        part = await body.take()
+        body = self._planned.body
+        part = await body.next_part()
         while part:
             try:
                 await self.connection.write(part)
             except StreamClosedError:
                 body.discard()
                 return
-            part = await body.take()
-        if body.whole:
-            self._order.holder.pass_body()
+            part = await body.next_part()
+        if body.complete:
+            self._planned.holder.pass_body()
             self._finish()
 
     def _finish(self) -> None:
--- a/hillfield/proxy/server.py
+++ b/hillfield/proxy/server.py
@@ -77,10 +77,10 @@
             idle_timeout=idle_seconds,
         )
 
-    def deliver(self, verdicts: tuple[Verdict, ...]) -> None:
+    def deliver(self, decisions: tuple[Verdict, ...]) -> None:
         """Carry out decisions on queued requests."""
-        for verdict in verdicts:
-            self._context.deliver(verdict)
+        for decision in decisions:
+            self._context.deliver(decision)
 
     def retire(self, target: TargetId) -> None:
         """Close a leaving target's idle connections; leave those in use."""
@@ -92,7 +92,7 @@
 
     def count_requests(self) -> int:
         """Return how many requests are queued or at a target."""
-        return len(self._context.takers)
+        return len(self._context.in_flight)
 
     async def drain(self) -> None:
         """Stop accepting, finish all requests in flight, then stop.
--- a/hillfield/proxy/turns.py
+++ b/hillfield/proxy/slots.py
@@ -5,12 +5,12 @@
 
 from tornado.iostream import StreamClosedError
 
-from hillfield.proxy.leaving import has_left
+from hillfield.proxy.halfclose import has_closed_writing
 from hillfield.proxy.ordering import AnswerOrder
 from hillfield.proxy.streams import CallerStream
 
 
-class Turn:
+class ResponseSlot:
     """Buffer what an answer writes until those before it are written.
 
     `is_open`: writes are no longer buffered; `held`: how many bytes are
@@ -19,7 +19,7 @@
 
     def __init__(self, stream: CallerStream, order: AnswerOrder) -> None:
         """Start outside of the order, until the request has been read."""
-        self.come = False
+        self.is_open = False
         self.held = 0
         self.closing = False
         self._stream = stream
@@ -27,40 +27,40 @@
         self._steps: list[Callable[[], object]] = []
         self._waiter: Future[None] | None = None
 
-    def join(self, leave: Callable[[], None]) -> None:
+    def join(self, cancel: Callable[[], None]) -> None:
         """Join the order behind earlier requests; `cancel` cancels this one."""
-        self._order.join(self, leave)
+        self._order.join(self, cancel)
 
-    def take(self) -> None:
+    def open(self) -> None:
         """Write what is buffered, and all later parts immediately."""
-        self.come = True
+        self.is_open = True
         steps = tuple(self._steps)
-        self.drop()
+        self.discard()
         for step in steps:
             step()
 
-    def run(self, step: Callable[[], object], size: int = 0) -> None:
+    def write(self, step: Callable[[], object], size: int = 0) -> None:
         """Write now or once the slot is open; `size` is in bytes."""
-        if self.come:
+        if self.is_open:
             step()
         else:
             self._steps.append(step)
             self.held += size
 
-    def put(
+    def write_part(
         self,
         step: Callable[[], 'Future[None]'],
         size: int,
     ) -> 'Future[None]':
         """Write now or once the slot is open; the future bounds the buffer."""
-        if self.come:
+        if self.is_open:
             return step()
-        self.run(step, size)
+        self.write(step, size)
         if self._waiter is None:
             self._waiter = get_running_loop().create_future()
         return self._waiter
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         """Discard what is buffered."""
         self._steps.clear()
         self.held = 0
@@ -69,27 +69,27 @@
 
     def end(self) -> None:
         """Open the slot of the next answer."""
-        self._order.note_ended(self)
+        self._order.advance(self)
 
-    def end_all(self) -> None:
+    def cancel_following(self) -> None:
         """Cancel the requests behind this one: the connection ends."""
-        self._order.leave()
+        self._order.cancel_all()
 
     async def wait(self) -> bool:
         """Wait until earlier answers are written; False: they never will be."""
         stream = self._stream
         stream.set_close_callback(self._order.wake)
-        while not (self.come or _is_over(stream)):
+        while not (self.is_open or _is_over(stream)):
             await self._order.wait()
         stream.set_close_callback(None)
         if not _is_over(stream):
             await _flush(stream)
-        if stream.unread and has_left(stream):
+        if stream.unread and has_closed_writing(stream):
             stream.abandon()
         return not _is_over(stream)
 
 
-class LastTurn:
+class RefusalSlot:
     """Slot of a refusal that ends a connection, behind other answers."""
 
     def __init__(self, stream: CallerStream, answer: bytes) -> None:
@@ -99,12 +99,12 @@
         self._stream = stream
         self._answer = answer
 
-    def take(self) -> None:
+    def open(self) -> None:
         """Write the refusal, and end the connection."""
         if not self._stream.closed():
             self._stream.linger(self._stream.write(self._answer))
 
-    def leave(self) -> None:
+    def cancel(self) -> None:
         """Do nothing: no request runs, and what was written is still sent."""
 
 
--- a/hillfield/proxy/streams.py
+++ b/hillfield/proxy/streams.py
@@ -25,17 +25,17 @@
 _BUFFERS: Final = 4
 
 
-class PromptStream(IOStream):
+class NoDelayStream(IOStream):
     """Stream that always sends small segments immediately.
 
     Tornado's connections toggle TCP_NODELAY for each message, which would
     cost four system calls per request.
     """
 
-    def __init__(self, link: socket.socket, settings: ProxySettings) -> None:
+    def __init__(self, sock: socket.socket, settings: ProxySettings) -> None:
         """Start with a connected or unconnected socket."""
         super().__init__(
-            link,
+            sock,
             max_buffer_size=_BUFFERS
             * max(
                 settings.part_size,
@@ -68,7 +68,7 @@
         self.close()
 
 
-class Refusing(Protocol):
+class RefusalOwner(Protocol):
     """Owner of the requests of one caller's connection."""
 
     def refuse(self, failure: RequestFailure) -> bytes:
@@ -78,25 +78,25 @@
         """Queue a refusal behind earlier answers; return whether it was."""
 
 
-class CallerStream(PromptStream):
+class CallerStream(NoDelayStream):
     """Check heads before tornado parses them, and end with a refusal safely.
 
     Closing a socket with unread bytes resets the connection, and the caller
     may lose the answer, so after a refusal the stream reads on for `linger`
-    seconds. `ending`: no further request is served; `head_received_at`: when
+    seconds. `ending`: no further request is served; `received_at`: when
     the last head had arrived, in monotonic seconds.
     """
 
     def __init__(
         self,
-        link: socket.socket,
+        sock: socket.socket,
         settings: ProxySettings,
-        owner: Refusing,
+        owner: RefusalOwner,
         intake: Intake,
     ) -> None:
         """Start with an accepted socket."""
-        super().__init__(link, settings)
-        self.came = monotonic()
+        super().__init__(sock, settings)
+        self.received_at = monotonic()
         self.received = 0
         self.written = 0
         self.reading_head = False
@@ -115,7 +115,7 @@
         self.reading_head = True
         head = await super().read_until_regex(regex, max_bytes)
         self.reading_head = False
-        self.came = monotonic()
+        self.received_at = monotonic()
         await self._intake.enter()
         if self.lingering or self.ending or self.closed():
             # No answer could follow, so a request that has arrived already must
--- a/hillfield/proxy/courses.py
+++ b/hillfield/proxy/summaries.py
@@ -13,18 +13,18 @@
 
 # Seconds for which a route counts as new: each node has to collect its own
 # statistics on the requests of a new route.
-NEW_FOR: Final = 30.0
+NEW_ROUTE_SECONDS: Final = 30.0
 FIRST: Final = 'first'
 NEW: Final = 'new'
 OLDER: Final = 'older'
 _UNSENT: Final = (ConnectFailed, NothingWritten)
 
 
-class Course:
+class AttemptSummary:
     """Counts of how a request's attempts ended; times are seconds.
 
-    >>> course = Course(10.0)
-    >>> course.describe(RequestPlan('fees', 'r', '', True, 1), 10.25)
+    >>> summary = AttemptSummary(10.0)
+    >>> summary.describe(RequestPlan('fees', 'r', '', True, 1), 10.25)
     'route r; 0.250 s: declined 0 (0 held back), sent 0'
     """
 
@@ -38,11 +38,15 @@
         self._first_sent: float | None = None
         self._urgency = Urgency.CHOOSY
 
-    def note_sent(self, send: Send) -> None:
+    def record_sent(self, send: Send) -> None:
         """Record the start of an attempt."""
         self._urgency = send.urgency
 
-    def note(self, written_at: float | None, observation: Observation) -> None:
+    def record_end(
+        self,
+        written_at: float | None,
+        observation: Observation,
+    ) -> None:
         """Record how an attempt ended, and when it was written, if it was."""
         if isinstance(observation, Declined):
             self._declined += 1
@@ -78,21 +82,21 @@
         return f'{spent:.3f} s: {told}'
 
 
-def name_age(plan: RequestPlan, now: float) -> str | None:
+def classify_route_age(plan: RequestPlan, now: float) -> str | None:
     """Return the age class of a request's route at this node.
 
     None: the age is not known at this node.
 
     >>> plan = RequestPlan('fees', 'r', '', True, 1, route_version=2,
     ...     route_since=5.0)
-    >>> name_age(plan, 6.0), name_age(plan, 60.0)
+    >>> classify_route_age(plan, 6.0), classify_route_age(plan, 60.0)
     ('new', 'older')
     """
     if plan.route_version is None:
         return None
     if plan.route_since is None:
         return FIRST
-    return NEW if now - plan.route_since < NEW_FOR else OLDER
+    return NEW if now - plan.route_since < NEW_ROUTE_SECONDS else OLDER
 
 
 def _describe_route(plan: RequestPlan, now: float) -> str:
--- a/hillfield/proxy/targetlinks.py
+++ b/hillfield/proxy/targetconnections.py
@@ -10,12 +10,12 @@
 
 from hillfield.proxy.incoming import IncomingAnswer
 from hillfield.proxy.settings import ProxySettings
-from hillfield.proxy.streams import PromptStream
+from hillfield.proxy.streams import NoDelayStream
 
 _LARGEST_BODY: Final = 1_000_000_000_000
 
 
-class AnswerReading(HTTPMessageDelegate):
+class AnswerReceiver(HTTPMessageDelegate):
     """Receiver of the answers on a connection to a target."""
 
     answer: IncomingAnswer
@@ -23,7 +23,7 @@
 
 
 def open_connection(
-    stream: PromptStream,
+    stream: NoDelayStream,
     settings: ProxySettings,
 ) -> HTTP1Connection:
     """Return a connection for one request to a target."""
@@ -39,17 +39,17 @@
 
 
 async def read_answer(
-    reading: AnswerReading,
+    receiver: AnswerReceiver,
     connection: HTTP1Connection,
-    stream: PromptStream,
+    stream: NoDelayStream,
 ) -> None:
     """Read answers up to the one that belongs to the current request.
 
     A target may send a late second answer to an earlier request.
     """
-    await connection.read_response(reading)
-    while reading.answer.stray and not (reading.ended or stream.closed()):
-        reading.answer.stray = False
+    await connection.read_response(receiver)
+    while receiver.answer.stale and not (receiver.ended or stream.closed()):
+        receiver.answer.stale = False
         following = open_connection(stream, stream.settings)
         following.finish()
-        await following.read_response(reading)
+        await following.read_response(receiver)
--- a/hillfield/proxy/tests/test_courses.py
+++ b/hillfield/proxy/tests/test_courses.py
@@ -3,7 +3,7 @@
 from msgspec.structs import replace
 
 from hillfield.model import Address, RequestPlan, TargetId, Urgency
-from hillfield.proxy.courses import Course, name_age
+from hillfield.proxy.summaries import AttemptSummary, classify_route_age
 from hillfield.routing.declining import Declined
 from hillfield.routing.requests import Broken, ConnectFailed, Send
 
@@ -13,15 +13,15 @@
 
 
 def test_a_course_tells_who_declined_and_when_the_first_target_saw_it():
-    course = Course(100.0)
-    course.note(None, Declined('full', None))
-    course.note(None, Declined('shunned', None, lasting=True))
-    course.note(None, ConnectFailed('refused'))
-    course.note_sent(replace(SEND, urgency=Urgency.INSISTS))
-    course.note(100.335, Broken('reset'))
-    course.note(100.348, Broken('reset'))
+    summary = AttemptSummary(100.0)
+    summary.record_end(None, Declined('full', None))
+    summary.record_end(None, Declined('shunned', None, lasting=True))
+    summary.record_end(None, ConnectFailed('refused'))
+    summary.record_sent(replace(SEND, urgency=Urgency.INSISTS))
+    summary.record_end(100.335, Broken('reset'))
+    summary.record_end(100.348, Broken('reset'))
     added = replace(PLAN, route_version=7, route_since=97.25)
-    assert course.describe(added, 100.351) == (
+    assert summary.describe(added, 100.351) == (
         'route r-8 of version 7, 3.1 s old; 0.351 s: declined 2 '
         '(1 held back), sent 2, not reached 1, first after 0.335 s, '
         'insists at last'
@@ -31,11 +31,11 @@
 def test_routes_are_told_apart_by_their_age():
     first = replace(PLAN, route_version=1)
     added = replace(PLAN, route_version=2, route_since=5.0)
-    ages = [name_age(plan, 20.0) for plan in (first, added)]
-    assert (*ages, name_age(added, 60.0)) == ('first', 'new', 'older')
+    ages = [classify_route_age(plan, 20.0) for plan in (first, added)]
+    assert (*ages, classify_route_age(added, 60.0)) == ('first', 'new', 'older')
 
 
 def test_a_gate_tells_no_age_of_a_route():
-    assert name_age(PLAN, 20.0) is None
-    told = Course(1.0).describe(PLAN, 1.5)
+    assert classify_route_age(PLAN, 20.0) is None
+    told = AttemptSummary(1.0).describe(PLAN, 1.5)
     assert told.startswith('route r-8; 0.500 s: ')
--- a/hillfield/proxy/tests/test_faults.py
+++ b/hillfield/proxy/tests/test_faults.py
@@ -192,7 +192,7 @@
     await path.start(slow_start, answer_hold=0.01)
     assert (await path.ask(GET))[1] == b'abcde'
     assert path.dispatching.observations() == [
-        Answered(200, relayed=not prefix)
+        Answered(200, relayed=not prefix),
     ]
 
 
@@ -413,5 +413,5 @@
     assert told.peer
     opening = 'its target answered 500; route all; '
     assert told.detail.startswith(opening)
-    course = 'declined 0 (0 held back), sent 1, first after '
-    assert course in told.detail
+    summary = 'declined 0 (0 held back), sent 1, first after '
+    assert summary in told.detail
--- a/hillfield/proxy/tests/test_intake.py
+++ b/hillfield/proxy/tests/test_intake.py
@@ -4,10 +4,10 @@
 import socket
 
 from hillfield.clocks import monotonic
-from hillfield.proxy.intake import TAKEN_AT_ONCE, Intake
+from hillfield.proxy.intake import ADMITTED_PER_PASS, Intake
 
 GET = b'GET / HTTP/1.1\r\nHost: t\r\nX-Deadline-Ms: 5000\r\n\r\n'
-CROWD = 10 * TAKEN_AT_ONCE
+CROWD = 10 * ADMITTED_PER_PASS
 HELD = 0.3
 
 
@@ -25,7 +25,7 @@
         await asyncio.sleep(0)
         taken = sum(entry[0] == 'admit' for entry in path.dispatching.seen)
         most = max(most, taken - before)
-    assert most <= TAKEN_AT_ONCE
+    assert most <= ADMITTED_PER_PASS
     readers = [reader for reader, _ in opened]
     answers = await asyncio.gather(*map(path.read, readers))
     assert {body for _, body in answers} == {b'ok'}
@@ -47,7 +47,7 @@
         await asyncio.sleep(0)
         passes += 1
     assert came == list(range(CROWD))
-    assert passes <= 2 * CROWD / TAKEN_AT_ONCE
+    assert passes <= 2 * CROWD / ADMITTED_PER_PASS
     await asyncio.gather(*crowd)
 
 
@@ -67,7 +67,7 @@
 async def test_connections_are_accepted_a_few_in_each_pass(path):
     # A pass that accepted 128 of them read no answer meanwhile.
     await path.start()
-    links = connect_crowd(path.server.address)
+    socks = connect_crowd(path.server.address)
     most = 0
     count = 0
     while count < CROWD:
@@ -75,19 +75,19 @@
         await asyncio.sleep(0)
         count = path.server.count_connections()
         most = max(most, count - before)
-    assert most <= TAKEN_AT_ONCE
-    for link in links:
-        link.close()
+    assert most <= ADMITTED_PER_PASS
+    for sock in socks:
+        sock.close()
 
 
 async def test_what_waits_to_be_accepted_is_served_before_a_node_stops(path):
     await path.start()
-    links = connect_crowd(path.server.address)
-    for link in links:
-        link.sendall(GET)
+    socks = connect_crowd(path.server.address)
+    for sock in socks:
+        sock.sendall(GET)
     await path.server.drain()
-    assert all(link.recv(99).startswith(b'HTTP/1.1 200') for link in links)
-    for done in links:
+    assert all(sock.recv(99).startswith(b'HTTP/1.1 200') for sock in socks)
+    for done in socks:
         done.close()
 
 
--- a/hillfield/proxy/tests/test_ordering.py
+++ b/hillfield/proxy/tests/test_ordering.py
@@ -23,7 +23,7 @@
         self.came = False
         self.left = False
 
-    def take(self):
+    def open(self):
         assert not self.came
         self.came = True
 
@@ -48,9 +48,9 @@
     order = AnswerOrder(DEPTH, LIMIT)
     first, second = Answer(), Answer()
     join(order, first, second)
-    order.note_ended(second)
+    order.advance(second)
     assert not second.came
-    order.note_ended(first)
+    order.advance(first)
     assert second.came
 
 
@@ -58,24 +58,24 @@
     order = AnswerOrder(DEPTH, LIMIT)
     first, second = Answer(closing=True), Answer()
     join(order, first, second)
-    order.note_ended(first)
+    order.advance(first)
     assert not second.came
 
 
 def test_room_ends_with_the_depth():
     order = AnswerOrder(2, LIMIT)
     join(order, Answer())
-    assert order.has_room()
+    assert order.accepts_more()
     join(order, Answer())
-    assert not order.has_room()
+    assert not order.accepts_more()
 
 
 def test_room_ends_with_what_is_held():
     order = AnswerOrder(DEPTH, LIMIT)
     join(order, Answer(), Answer(LIMIT))
-    assert order.has_room()
+    assert order.accepts_more()
     join(order, Answer(1))
-    assert not order.has_room()
+    assert not order.accepts_more()
 
 
 def test_the_last_read_closes():
@@ -94,7 +94,7 @@
     join(order, *answers)
     waiting = asyncio.create_task(order.wait())
     await asyncio.sleep(0)
-    order.leave()
+    order.cancel_all()
     await waiting
     assert all(answer.left for answer in answers)
     assert not order.is_busy()
@@ -108,7 +108,7 @@
         join(order, *answers)
         due = 0
         for number in ends:
-            order.note_ended(answers[number])
+            order.advance(answers[number])
             due += number == due
             came = [answer.came for answer in answers]
             assert came == [turn <= due for turn in range(len(answers))]
--- a/hillfield/proxy/tests/test_planning.py
+++ b/hillfield/proxy/tests/test_planning.py
@@ -9,25 +9,25 @@
 from hillfield.holding import Holder, make_budget
 from hillfield.model import RequestPlan
 from hillfield.proxy.bodies import RequestBody
-from hillfield.proxy.heads import Passage
-from hillfield.proxy.orders import Order
-from hillfield.proxy.planning import runs_beside
+from hillfield.proxy.heads import ForwardingContext
+from hillfield.proxy.plannedrequests import PlannedRequest
+from hillfield.proxy.planning import may_run_concurrently
 
 
 def order(idempotent=True, aim=1.0, fields=()):
-    return Order(
+    return PlannedRequest(
         RequestStartLine('GET', '/', 'HTTP/1.1'),
         HTTPHeaders(dict(fields)),
         RequestBody(0),
         RequestPlan('till', 'all', 'baker', idempotent, 5, aim=aim),
-        Passage('r', 'k', ''),
+        ForwardingContext('r', 'k', ''),
         0,
         Holder(make_budget(), 'baker'),
     )
 
 
 def runs(made):
-    return runs_beside(made, made.headers)
+    return may_run_concurrently(made, made.headers)
 
 
 def test_what_may_run_again_and_has_an_aim():
@@ -48,5 +48,5 @@
 
 
 def test_a_refusal_has_nothing_to_run():
-    assert runs_beside(None, HTTPHeaders())
-    assert not runs_beside(None, HTTPHeaders({'Content-Length': '1'}))
+    assert may_run_concurrently(None, HTTPHeaders())
+    assert not may_run_concurrently(None, HTTPHeaders({'Content-Length': '1'}))
--- a/hillfield/proxy/tests/test_smuggling.py
+++ b/hillfield/proxy/tests/test_smuggling.py
@@ -46,7 +46,7 @@
         'tunnel': b'CONNECT t:80 HTTP/1.1\r\nHost: t\r\n\r\n',
         'two spaces': b'GET  / HTTP/1.1\r\nHost: t\r\n\r\n',
         'other version': b'GET / HTTP/2.0\r\nHost: t\r\n\r\n',
-    }
+    },
 )
 
 
--- a/hillfield/proxy/tests/test_unread.py
+++ b/hillfield/proxy/tests/test_unread.py
@@ -5,7 +5,7 @@
 from tornado.httputil import HTTPHeaders
 
 from hillfield.events import EventCode, ListJournal
-from hillfield.proxy.unread import NAMES_TOLD, OTHERS, UnreadHeaders
+from hillfield.proxy.unread import MAX_NAMES, OTHER_NAMES, UnreadHeaders
 
 KNOWN = frozenset(('X-Server-Signature',))
 
@@ -15,8 +15,8 @@
     counts: Counter[str] = Counter()
     unread = UnreadHeaders(KNOWN, journal, lambda name: counts.update((name,)))
     answer = HTTPHeaders({'X-Server-Signature': 'x', 'x-target-mood': 'low'})
-    unread.note(answer)
-    unread.note(answer)
+    unread.count_unknown(answer)
+    unread.count_unknown(answer)
     assert counts == {'X-Target-Mood': 2}
     assert [told.code for told in journal.occurrences] == [
         EventCode.ANSWER_HEADER_UNREAD,
@@ -28,7 +28,7 @@
     journal = ListJournal()
     counts: Counter[str] = Counter()
     unread = UnreadHeaders(KNOWN, journal, lambda name: counts.update((name,)))
-    for number in range(10 * NAMES_TOLD):
-        unread.note(HTTPHeaders({f'X-Own-{number}': '1'}))
-    assert len(journal.occurrences) == NAMES_TOLD
-    assert counts[OTHERS] == 9 * NAMES_TOLD
+    for number in range(10 * MAX_NAMES):
+        unread.count_unknown(HTTPHeaders({f'X-Own-{number}': '1'}))
+    assert len(journal.occurrences) == MAX_NAMES
+    assert counts[OTHER_NAMES] == 9 * MAX_NAMES
--- a/hillfield/proxy/tests/test_wakes.py
+++ b/hillfield/proxy/tests/test_wakes.py
@@ -6,7 +6,7 @@
 import asyncio
 from time import monotonic
 
-from hillfield.proxy.wakes import Wakes
+from hillfield.proxy.polltimers import PollTimers
 
 
 class Dues:
@@ -25,28 +25,28 @@
         return self.dues.pop(0) if self.dues else None
 
 
-async def follow_twice(dues):
-    wakes = Wakes(Dues.note_polled)
-    wakes.follow(dues)
-    wakes.follow(dues)
+async def schedule_twice(dues):
+    timers = PollTimers(Dues.note_polled)
+    timers.schedule(dues)
+    timers.schedule(dues)
     await asyncio.wait_for(dues.polled_once.wait(), timeout=5)
 
 
 def test_polls_once_for_one_time_named_twice():
     due = monotonic() + 0.01
     dues = Dues(due, due)
-    asyncio.run(follow_twice(dues))
+    asyncio.run(schedule_twice(dues))
     assert dues.polled == 1
 
 
 def test_earlier_time_takes_the_place_of_a_later_one():
     now = monotonic()
     dues = Dues(now + 60, now - 1)
-    asyncio.run(follow_twice(dues))
+    asyncio.run(schedule_twice(dues))
     assert dues.polled == 1
 
 
 def test_nothing_due_sets_no_timer():
     dues = Dues()
-    Wakes(None).follow(dues)
+    PollTimers(None).schedule(dues)
     assert not dues.polled
--- a/hillfield/proxy/timeouts.py
+++ b/hillfield/proxy/timeouts.py
@@ -4,7 +4,7 @@
 
 from hillfield.proxy.context import ProxyContext
 from hillfield.proxy.failures import Fault
-from hillfield.proxy.leaving import has_left
+from hillfield.proxy.halfclose import has_closed_writing
 from hillfield.proxy.ordering import AnswerOrder
 from hillfield.proxy.streams import CallerStream
 
@@ -49,7 +49,7 @@
         if self._is_reading():
             self._sweep_head(now)
         elif self._order.is_busy() and self._stream.unread:
-            if has_left(self._stream):
+            if has_closed_writing(self._stream):
                 self._stream.abandon()
 
     def _is_reading(self) -> bool:
--- a/hillfield/proxy/unread.py
+++ b/hillfield/proxy/unread.py
@@ -8,8 +8,8 @@
 from hillfield.events import EventCode, Journal, Occurrence
 
 # Names that are counted separately: each is a metric series and a log line.
-NAMES_TOLD: Final = 16
-OTHERS: Final = 'others'
+MAX_NAMES: Final = 16
+OTHER_NAMES: Final = 'others'
 # Standard HTTP headers, in tornado's normalized case.
 STANDARD: Final = frozenset(
     (
@@ -49,24 +49,24 @@
         journal: Journal,
         counter: Callable[[str], None],
     ) -> None:
-        """Start without names; `counter` gets each unknown name of an answer."""
+        """Start without names; `counter` gets the unknown names of answers."""
         self._known = STANDARD | known
         self._journal = journal
         self._counter = counter
-        self._told: set[str] = set()
+        self._seen: set[str] = set()
 
-    def note(self, headers: HTTPHeaders) -> None:
+    def count_unknown(self, headers: HTTPHeaders) -> None:
         """Count the unknown headers of an answer."""
         for name in headers.keys():
             if name not in self._known:
                 self._count(name)
 
     def _count(self, name: str) -> None:
-        if name not in self._told:
-            if len(self._told) >= NAMES_TOLD:
-                self._counter(OTHERS)
+        if name not in self._seen:
+            if len(self._seen) >= MAX_NAMES:
+                self._counter(OTHER_NAMES)
                 return
-            self._told.add(name)
+            self._seen.add(name)
             self._journal.record(
                 Occurrence(EventCode.ANSWER_HEADER_UNREAD, detail=name),
             )
--- a/hillfield/proxy/writing.py
+++ b/hillfield/proxy/writing.py
@@ -8,8 +8,8 @@
 
 from hillfield.holding import Holder
 from hillfield.proxy.fields import Fields, render_status
+from hillfield.proxy.slots import ResponseSlot
 from hillfield.proxy.streams import CallerStream
-from hillfield.proxy.turns import Turn
 
 _LAST_CHUNK: Final = b'0\r\n\r\n'
 
@@ -27,24 +27,24 @@
         self,
         connection: HTTP1Connection,
         stream: CallerStream,
-        turn: Turn,
+        slot: ResponseSlot,
     ) -> None:
         """Initialize; nothing is written yet."""
         self.connection = connection
         self.request_read = False
         self.chunked = False
-        self.early = False
+        self.concurrent = False
         self.holder: Holder | None = None
         self._stream = stream
-        self._turn = turn
+        self._slot = slot
 
-    def note_read(self) -> None:
+    def record_request_end(self) -> None:
         """Record the request's end; if concurrent, the next may be read now."""
         self.request_read = True
-        if self.early:
+        if self.concurrent:
             self.connection.finish()
 
-    def write_whole(
+    def write_complete(
         self,
         start_line: ResponseStartLine,
         fields: Fields,
@@ -66,40 +66,44 @@
         """Write the head and first part of an answer."""
         self._add_close(fields)
         head = fields.to_headers()
-        return self._follow(
+        return self._release_after(
             self.connection.write_headers(start_line, head, part),
             len(part),
         )
 
     def write_part(self, part: bytes) -> 'Future[None]':
         """Write a part of an answer that has begun."""
-        return self._follow(self.connection.write(part), len(part))
+        return self._release_after(self.connection.write(part), len(part))
 
     def end(self) -> None:
         """End a complete answer, and open the slot of the next one."""
         if self._is_last():
             self._end_connection()
-        elif not self.early:
+        elif not self.concurrent:
             self.connection.finish()
         elif self.chunked and not self._stream.closed():
             self._stream.write(_LAST_CHUNK)
         self._release()
-        self._turn.end()
+        self._slot.end()
 
-    def cut(self) -> None:
+    def abort(self) -> None:
         """End the connection within the answer.
 
         A reset could also discard earlier answers that the caller has not read
         yet. The end of a connection also shows that an answer with a length, or
         in chunks, is incomplete.
         """
-        if not self.early:
+        if not self.concurrent:
             self._stream.reset()
         elif not self._stream.closed():
             self._stream.linger(self._stream.write(b''))
-        self._turn.end_all()
+        self._slot.cancel_following()
 
-    def _follow(self, written: 'Future[None]', size: int) -> 'Future[None]':
+    def _release_after(
+        self,
+        written: 'Future[None]',
+        size: int,
+    ) -> 'Future[None]':
         """Release the bytes of a part once it has been written."""
         if self.holder is not None:
             drop = self.holder.drop_answer
@@ -126,7 +130,7 @@
             self._stream.linger(self._stream.write(last))
 
     def _is_last(self) -> bool:
-        return self._turn.closing or not self.request_read
+        return self._slot.closing or not self.request_read
 
     def _add_close(self, fields: Fields) -> None:
         if self._is_last():
