--- a/hillfield/proxy/replies.py
+++ b/hillfield/proxy/replies.py
@@ -108,7 +108,7 @@
         framed = bodiless or answer.has_length()
         self.writer.chunked = self.chunks and not framed
         self._begin(fields)
-        return self.slot.write_part(
+        return self.slot.enqueue(
             partial(self.writer.write_head, answer.start_line, fields, part),
             len(part),
         )
@@ -127,7 +127,7 @@
 
     def write_part(self, part: bytes) -> 'Future[None]':
         """Forward a part; the future applies backpressure."""
-        return self.slot.write_part(
+        return self.slot.enqueue(
             partial(self.writer.write_part, part),
             len(part),
         )
@@ -142,9 +142,9 @@
         Return whether another can be sent: nothing of it was written yet.
         """
         if self.slot.is_open:
-            self.writer.abort()
+            self.writer.abort_connection()
             return False
-        self.slot.discard()
+        self.slot.clear_buffer()
         self.writer.chunked = False
         self.begun = False
         return True
--- a/hillfield/proxy/requests.py
+++ b/hillfield/proxy/requests.py
@@ -108,7 +108,7 @@
     def on_connection_close(self) -> None:
         """Cancel the request after the caller closed the connection."""
         self._body.discard()
-        self.reply.slot.discard()
+        self.reply.slot.clear_buffer()
         if self._planned is not None:
             self._planned.holder.release()
         if self._exchange is not None:
--- a/hillfield/proxy/slots.py
+++ b/hillfield/proxy/slots.py
@@ -35,7 +35,7 @@
         """Write what is buffered, and all later parts immediately."""
         self.is_open = True
         steps = tuple(self._steps)
-        self.discard()
+        self.clear_buffer()
         for step in steps:
             step()
 
@@ -47,7 +47,7 @@
             self._steps.append(step)
             self.held += size
 
-    def write_part(
+    def enqueue(
         self,
         step: Callable[[], 'Future[None]'],
         size: int,
@@ -60,7 +60,7 @@
             self._waiter = get_running_loop().create_future()
         return self._waiter
 
-    def discard(self) -> None:
+    def clear_buffer(self) -> None:
         """Discard what is buffered."""
         self._steps.clear()
         self.held = 0
--- a/hillfield/proxy/tests/conftest.py
+++ b/hillfield/proxy/tests/conftest.py
@@ -1,6 +1,6 @@
 """A node's request path between raw sockets and a scripted dispatcher."""
 
-# Doubles that stand in for typed ports without annotations of their own.
+# Test doubles that implement typed protocols without annotations.
 # mypy: disable-error-code="no-untyped-call, type-arg, arg-type"
 
 import asyncio
@@ -38,7 +38,7 @@
 
 @dataclass
 class ScriptedDispatching:
-    """Send to the targets in order; retry what surely did not run."""
+    """Dispatcher that sends to targets in order, and retries if not run."""
 
     targets: list = field(default_factory=list)
     seen: list = field(default_factory=list)
@@ -53,15 +53,15 @@
         self.requests = {}
         self.plans = {}
 
-    def send(self, request, turn):
-        address = self.targets[turn % len(self.targets)]
+    def send(self, request, position):
+        address = self.targets[position % len(self.targets)]
         attempt = next(self.numbers)
-        self.requests[attempt] = (request, turn)
+        self.requests[attempt] = (request, position)
         target = TargetId('till', address, 1)
         return Send(request, attempt, target, address)
 
     def admit(self, now, arrival):
-        stumble(self.failing, 'admit')
+        raise_if_failing(self.failing, 'admit')
         self.seen.append(('admit', arrival))
         self.plans[arrival.request] = arrival.plan
         if self.queueing:
@@ -70,39 +70,39 @@
 
     def note_written(self, now, attempt):
         self.seen.append(('written', attempt))
-        stumble(self.failing, 'written')
+        raise_if_failing(self.failing, 'written')
 
     def note_head(self, now, attempt):
         self.seen.append(('head', attempt))
 
     def adopt_report(self, now, report):
-        self.seen.append(('room', report))
+        self.seen.append(('capacity', report))
 
     def note_notice(self, now, attempt, notice):
         self.seen.append(('notice', attempt, notice))
 
     def note_silent(self, now, attempt):
-        self.seen.append(('silent', attempt))
+        self.seen.append(('silence', attempt))
 
     def finish(self, now, attempt, observation):
-        stumble(self.failing, 'finish')
+        raise_if_failing(self.failing, 'finish')
         self.seen.append(('finish', attempt, observation))
-        request, turn = self.requests[attempt]
+        request, position = self.requests[attempt]
         if isinstance(observation, CallerGone):
             return Done(request)
         if isinstance(observation, Answered) and not observation.wrong:
             return Done(request)
-        harmless = (ConnectFailed, NothingWritten, Shed)
-        not_run = isinstance(observation, harmless)
-        again = not_run or self.plans[request].idempotent
-        if again and turn + 1 < len(self.targets):
-            return self.send(request, turn + 1)
+        not_run_kinds = (ConnectFailed, NothingWritten, Shed)
+        not_run = isinstance(observation, not_run_kinds)
+        may_retry = not_run or self.plans[request].idempotent
+        if may_retry and position + 1 < len(self.targets):
+            return self.send(request, position + 1)
         if isinstance(observation, Answered):
             return Done(request)
         outcome = Outcome.NOT_RUN if not_run else Outcome.UNKNOWN
         return Refuse(request, refusal(outcome))
 
-    def refuse_wrongly(self, request):
+    def build_invalid_refusal(self, request):
         return Refuse(request, None)
 
     def find_hedge_delay(self, plan):
@@ -133,7 +133,7 @@
         return self.observations()[0]
 
 
-def stumble(failing, step):
+def raise_if_failing(failing, step):
     if failing == step:
         raise ValueError('stray')
 
@@ -143,7 +143,7 @@
 
 
 class Plans:
-    """Give one plan to all, or one failure."""
+    """Plan source with one plan, or one failure, for all requests."""
 
     def __init__(self):
         self.plan = RequestPlan('till', 'all', 'baker', False, 5)
@@ -152,13 +152,13 @@
         self.heads = []
 
     def resolve(self, head):
-        stumble(self.failing, 'resolve')
+        raise_if_failing(self.failing, 'resolve')
         self.heads.append(head)
         return Error(self.failure) if self.failure else Ok(self.plan)
 
 
 class ListMeter:
-    """Keep what is counted."""
+    """Meter that keeps what is counted."""
 
     def __init__(self):
         self.counted = []
@@ -178,13 +178,13 @@
 
 
 class RawTarget:
-    """Record what comes and answer as a script says, one per request."""
+    """Target that records requests and sends scripted answers."""
 
     def __init__(self, answer=OK_ANSWER):
         self.answer = answer
         self.requests = []
         self.closed = asyncio.Event()
-        self.got = asyncio.Event()
+        self.received = asyncio.Event()
         self.connections = 0
 
     async def start(self):
@@ -201,15 +201,15 @@
             writer.close()
 
     async def serve_all(self, reader, writer):
-        going_on = True
-        while going_on:
-            going_on = await self.exchange(reader, writer)
+        keep_open = True
+        while keep_open:
+            keep_open = await self.exchange(reader, writer)
 
     async def exchange(self, reader, writer):
         head = await reader.readuntil(b'\r\n\r\n')
         body = await read_body(head, reader)
         self.requests.append((head, body))
-        self.got.set()
+        self.received.set()
         if callable(self.answer):
             return await self.answer(head, body, reader, writer)
         writer.write(self.answer)
@@ -238,8 +238,8 @@
             return b''.join(parts)
 
 
-class Path:
-    """One running request path."""
+class ProxyHarness:
+    """One running request path with its targets."""
 
     def __init__(self):
         self.plans = Plans()
@@ -275,7 +275,7 @@
         return await asyncio.open_connection(address.ip, address.port)
 
     async def ask(self, raw, end=True):
-        """Send bytes, return all that comes until the end or a time-out."""
+        """Send bytes; return one answer, or all bytes until the end."""
         reader, writer = await self.open()
         writer.write(raw)
         answer = await read_answer(reader) if end else await reader.read()
@@ -287,7 +287,7 @@
 
 
 async def read_answer(reader):
-    """Return one answer: head bytes and body; raises if it isn't whole."""
+    """Return one answer: head bytes and body; raises if it is incomplete."""
     head = await reader.readuntil(b'\r\n\r\n')
     if head.startswith(b'HTTP/1.1 100'):
         head = await reader.readuntil(b'\r\n\r\n')
@@ -295,13 +295,13 @@
 
 
 @pytest.fixture
-def path():
-    """Give a path that is not started yet."""
-    return Path()
+def proxy():
+    """Return a request path that is not started yet."""
+    return ProxyHarness()
 
 
 def pytest_pyfunc_call(pyfuncitem):
-    """Run coroutine tests in a loop of their own; fail rather than hang."""
+    """Run each coroutine test in its own event loop, with a timeout."""
     if not asyncio.iscoroutinefunction(pyfuncitem.obj):
         return None
     names = pyfuncitem._fixtureinfo.argnames
--- a/hillfield/proxy/tests/gatetarget.py
+++ b/hillfield/proxy/tests/gatedtarget.py
@@ -1,6 +1,6 @@
-"""Target whose answers a test lets out one by one."""
+"""Target that sends each answer only once a test releases it."""
 
-# Tests are untyped, so are the doubles that they share.
+# The tests and their shared doubles are untyped.
 # mypy: disable-error-code="no-untyped-call, var-annotated"
 
 import asyncio
@@ -19,25 +19,25 @@
     'limited',
     1,
 )
-READ = b'GET %s HTTP/1.1\r\nHost: t\r\nX-Request-Id: %s\r\n\r\n'
-WRITE = (
+IDEMPOTENT = b'GET %s HTTP/1.1\r\nHost: t\r\nX-Request-Id: %s\r\n\r\n'
+ONCE = (
     b'POST %s HTTP/1.1\r\nHost: t\r\nX-Request-Id: %s\r\n'
     b'Content-Length: 4\r\n\r\nbody'
 )
 
 
-def safe(path):
-    """Return a request that may run again; its id is its path."""
-    return READ % (path, path)
+def idempotent_request(path):
+    """Return an idempotent request; its id is its path."""
+    return IDEMPOTENT % (path, path)
 
 
-def unsafe(path):
-    """Return a request that runs once."""
-    return WRITE % (path, path)
+def once_request(path):
+    """Return a request that is not idempotent."""
+    return ONCE % (path, path)
 
 
 class PathPlans:
-    """Let what begins with /u run once, refuse /x, all else has an aim."""
+    """Plans: /u is not idempotent, /x is refused, all others have an aim."""
 
     def __init__(self):
         self.heads = []
@@ -46,12 +46,12 @@
         self.heads.append(head)
         if head.path.startswith('/x'):
             return Error(LIMITED)
-        again = not head.path.startswith('/u')
-        return Ok(RequestPlan('till', 'all', 'baker', again, 5, aim=1))
+        idempotent = not head.path.startswith('/u')
+        return Ok(RequestPlan('till', 'all', 'baker', idempotent, 5, aim=1))
 
 
-class Gate:
-    """Answer a request with its path once it is let out."""
+class GatedTarget:
+    """Target that answers a request with its path once it is released."""
 
     def __init__(self):
         self.log = []
@@ -61,12 +61,12 @@
         self.broken = set()
         self.chunked = set()
         self.dropped = []
-        self._out = {}
+        self._releases = {}
         self._change = asyncio.Event()
 
-    def let_out(self, *paths):
+    def release(self, *paths):
         for path in paths:
-            self._find(path).set()
+            self._find_release(path).set()
 
     async def wait_for(self, condition):
         while not condition():
@@ -76,15 +76,18 @@
     async def answer(self, head, body, reader, writer):
         path = head.split()[1]
         self.log.append(('begun', path))
-        self._note(self.begun, path)
-        left = asyncio.create_task(reader.read(1))
-        out = asyncio.create_task(self._find(path).wait())
-        await asyncio.wait((left, out), return_when=asyncio.FIRST_COMPLETED)
-        gone = left.done()
-        await _cancel(left)
-        await _cancel(out)
-        if gone:
-            self._note(self.dropped, path)
+        self._record(self.begun, path)
+        disconnected = asyncio.create_task(reader.read(1))
+        released = asyncio.create_task(self._find_release(path).wait())
+        await asyncio.wait(
+            (disconnected, released),
+            return_when=asyncio.FIRST_COMPLETED,
+        )
+        has_left = disconnected.done()
+        await _cancel(disconnected)
+        await _cancel(released)
+        if has_left:
+            self._record(self.dropped, path)
             return False
         self.log.append(('out', path))
         return await self._write(path, writer)
@@ -104,51 +107,51 @@
         writer.write(head + body)
         with suppress(ConnectionError):
             await writer.drain()
-        self._note(self.ended, path)
+        self._record(self.ended, path)
         return True
 
-    def _find(self, path):
-        return self._out.setdefault(path, asyncio.Event())
+    def _find_release(self, path):
+        return self._releases.setdefault(path, asyncio.Event())
 
-    def _note(self, notes, path):
-        notes.append(path)
+    def _record(self, paths, path):
+        paths.append(path)
         self._change.set()
 
 
-async def start(path, **more):
-    """Start a path before a gate; each answer waits to be let out."""
-    gate = Gate()
-    path.plans = PathPlans()
-    await path.start(gate.answer, **more)
+async def start(proxy, **more):
+    """Start a request path with this target; each answer waits for release."""
+    gate = GatedTarget()
+    proxy.plans = PathPlans()
+    await proxy.start(gate.answer, **more)
     return gate
 
 
-async def open_with(path, *requests):
-    """Send requests at once on a new connection."""
-    reader, writer = await path.open()
+async def open_with(proxy, *requests):
+    """Pipeline requests on a new connection."""
+    reader, writer = await proxy.open()
     writer.write(b''.join(requests))
     return reader, writer
 
 
-async def open_reads(path, *names):
-    """Send requests that may run again."""
-    return await open_with(path, *map(safe, names))
+async def open_reads(proxy, *names):
+    """Pipeline idempotent requests."""
+    return await open_with(proxy, *map(idempotent_request, names))
 
 
-async def read_bodies(path, reader, count):
+async def read_bodies(proxy, reader, count):
     """Return the bodies of the next answers."""
     bodies = []
     while len(bodies) < count:
-        _, body = await path.read(reader)
+        _, body = await proxy.read(reader)
         bodies.append(body)
     return bodies
 
 
-async def settle():
-    """Let all that can go on do so."""
-    turns = 0
-    while turns < 200:
-        turns += 1
+async def run_pending():
+    """Run the event loop until pending work has finished."""
+    passes = 0
+    while passes < 200:
+        passes += 1
         await asyncio.sleep(0)
 
 
--- a/hillfield/proxy/tests/test_handover.py
+++ b/hillfield/proxy/tests/test_handover.py
@@ -1,9 +1,8 @@
-"""Requests handed over between nodes on connections that may lead nowhere.
+"""Requests written between nodes on connections that may be dead.
 
-Hosts were cut off while their connections stayed open. What was written to them
-may have run for all that its sender knew, so callers waited for their deadlines
-and were told that it was unknown, though no target had been reached.
-"""
+Hosts were cut off while their connections stayed open. Requests written to them
+might have run, as far as the sender knew, so callers waited for their deadlines
+and got an unknown outcome, though no target had been reached."""
 
 import asyncio
 from enum import Enum, auto
@@ -19,22 +18,28 @@
 
 POST = b'POST /c HTTP/1.1\r\nHost: t\r\nContent-Length: 4\r\n\r\nbody'
 EMPTY = b'DELETE /c HTTP/1.1\r\nHost: t\r\n\r\n'
-GO_ON = b'HTTP/1.1 100 (Continue)\r\n\r\n'
+CONTINUE = b'HTTP/1.1 100 (Continue)\r\n\r\n'
 DECLINED = (
     b'HTTP/1.1 503 Service Unavailable\r\nHillfield-Outcome: not-run\r\n'
     b'Hillfield-Step: route\r\nContent-Length: 0\r\n\r\n'
 )
-ONCE = RequestPlan('till', 'all', 'baker', idempotent=False, deadline=5)
-AGAIN = RequestPlan('till', 'all', 'baker', idempotent=True, deadline=5)
+NON_IDEMPOTENT = RequestPlan(
+    'till',
+    'all',
+    'baker',
+    idempotent=False,
+    deadline=5,
+)
+IDEMPOTENT = RequestPlan('till', 'all', 'baker', idempotent=True, deadline=5)
 SHORT = RequestPlan('till', 'all', 'baker', idempotent=False, deadline=0.05)
-# Seconds: long before a sign is expected for real.
-SIGN_WITHIN = 0.1
-NEVER_PROVEN = 0
+# Seconds; much shorter than the keepalive timeout in use.
+KEEPALIVE_WITHIN = 0.1
+ALWAYS_UNPROVEN = 0
 MINUTE = 60
 
 
-class Fate(Enum):
-    """Say how far a gate comes with a request."""
+class GateBehaviour(Enum):
+    """How far a gate processes a request."""
 
     SILENT = auto()
     CLOSES = auto()
@@ -44,18 +49,18 @@
     ANSWERS = auto()
 
 
-HEAD_ONLY = (Fate.SILENT, Fate.CLOSES, Fate.DECLINES)
+HEAD_ONLY = (GateBehaviour.SILENT, GateBehaviour.CLOSES, GateBehaviour.DECLINES)
 
 
-FATES = tuple(Fate)
+BEHAVIOURS = tuple(GateBehaviour)
 
 
 class Gate(RawTarget):
-    """Take requests as a node beside a target; `runs` are those begun."""
+    """Node beside a target; `runs` are the bodies of requests that it began."""
 
-    def __init__(self, *fates):
+    def __init__(self, *behaviours):
         super().__init__()
-        self.fates = list(fates)
+        self.behaviours = list(behaviours)
         self.heads = []
         self.runs = []
         self.pause = float()
@@ -63,58 +68,60 @@
     async def exchange(self, reader, writer):
         head = await reader.readuntil(b'\r\n\r\n')
         self.heads.append(head)
-        fate = self.fates.pop(0)
-        if fate in HEAD_ONLY:
-            writer.write(DECLINED if fate is Fate.DECLINES else b'')
-            await self.stay(fate, reader)
+        behaviour = self.behaviours.pop(0)
+        if behaviour in HEAD_ONLY:
+            writer.write(
+                DECLINED if behaviour is GateBehaviour.DECLINES else b'',
+            )
+            await self.wait_for_rest(behaviour, reader)
             return False
         if b'100-continue' in head:
-            writer.write(GO_ON)
-        if fate is Fate.ASKS_AND_CLOSES:
+            writer.write(CONTINUE)
+        if behaviour is GateBehaviour.ASKS_AND_CLOSES:
             return False
         self.runs.append(await read_body(head, reader))
-        if fate is Fate.RUNS_AND_CLOSES:
+        if behaviour is GateBehaviour.RUNS_AND_CLOSES:
             return False
         await asyncio.sleep(self.pause)
         writer.write(OK_ANSWER)
         return True
 
-    async def stay(self, fate, reader):
-        if fate is Fate.SILENT and await reader.read():
+    async def wait_for_rest(self, behaviour, reader):
+        if behaviour is GateBehaviour.SILENT and await reader.read():
             self.runs.append(b'without having asked')
 
 
-async def open_path(path, gates, plan=ONCE, after=NEVER_PROVEN):
-    path.plans.plan = plan
-    await path.start(
+async def open_path(proxy, gates, plan=NON_IDEMPOTENT, after=ALWAYS_UNPROVEN):
+    proxy.plans.plan = plan
+    await proxy.start(
         targets=HopDialect(),
-        sign_within=SIGN_WITHIN,
+        sign_within=KEEPALIVE_WITHIN,
         hand_over_after=after,
     )
     addresses = await asyncio.gather(*(gate.start() for gate in gates))
-    path.dispatching.targets = addresses
+    proxy.dispatching.targets = addresses
 
 
-async def ask(path, gates, raw=POST, plan=ONCE):
-    """Send a request by way of these gates; return its answer's head."""
-    await open_path(path, gates, plan)
-    return (await path.ask(raw))[0]
+async def ask(proxy, gates, raw=POST, plan=NON_IDEMPOTENT):
+    """Send a request to these gates in order; return its answer's head."""
+    await open_path(proxy, gates, plan)
+    return (await proxy.ask(raw))[0]
 
 
-async def test_the_rest_follows_once_the_gate_asks_for_it(path):
-    gate = Gate(Fate.ANSWERS)
-    head = await ask(path, [gate])
+async def test_rest_is_written_once_the_gate_asks(proxy):
+    gate = Gate(GateBehaviour.ANSWERS)
+    head = await ask(proxy, [gate])
     assert head.startswith(b'HTTP/1.1 200')
     assert gate.runs == [b'body']
     assert b'Content-Length: 4\r\n' in gate.heads[0]
     assert b'Expect: 100-continue\r\n' in gate.heads[0]
-    names = [entry[0] for entry in path.dispatching.seen]
+    names = [entry[0] for entry in proxy.dispatching.seen]
     assert names == ['admit', 'written', 'head', 'finish']
 
 
-async def test_a_request_without_a_body_is_not_whole_with_its_head(path):
-    gate = Gate(Fate.ANSWERS)
-    head = await ask(path, [gate], EMPTY)
+async def test_request_without_body_is_incomplete_with_its_head(proxy):
+    gate = Gate(GateBehaviour.ANSWERS)
+    head = await ask(proxy, [gate], EMPTY)
     assert head.startswith(b'HTTP/1.1 200')
     assert gate.runs == [b'']
     assert b'Transfer-Encoding: chunked\r\n' in gate.heads[0]
@@ -122,95 +129,104 @@
 
 
 @pytest.mark.parametrize('raw', [POST, EMPTY])
-@pytest.mark.parametrize('fate', [Fate.SILENT, Fate.CLOSES])
-async def test_what_was_not_handed_over_goes_elsewhere(path, raw, fate):
-    gates = (Gate(fate), Gate(Fate.ANSWERS))
-    head = await ask(path, gates, raw)
+@pytest.mark.parametrize(
+    'behaviour', [GateBehaviour.SILENT, GateBehaviour.CLOSES]
+)
+async def test_incomplete_request_is_sent_elsewhere(proxy, raw, behaviour):
+    gates = (Gate(behaviour), Gate(GateBehaviour.ANSWERS))
+    head = await ask(proxy, gates, raw)
     assert head.startswith(b'HTTP/1.1 200')
     assert not gates[0].runs
-    first, second = path.dispatching.observations()
+    first, second = proxy.dispatching.observations()
     assert isinstance(first, NothingWritten)
     assert second == Answered(200)
 
 
-async def test_what_was_declined_before_goes_elsewhere(path):
-    gates = (Gate(Fate.DECLINES), Gate(Fate.ANSWERS))
-    await ask(path, gates)
-    first = path.dispatching.observations()[0]
+async def test_declined_request_is_sent_elsewhere(proxy):
+    gates = (Gate(GateBehaviour.DECLINES), Gate(GateBehaviour.ANSWERS))
+    await ask(proxy, gates)
+    first = proxy.dispatching.observations()[0]
     assert isinstance(first, Declined)
     assert first.lasting
 
 
-@pytest.mark.parametrize('fate', [Fate.ASKS_AND_CLOSES, Fate.RUNS_AND_CLOSES])
-async def test_what_was_handed_over_is_not_sent_again(path, fate):
-    gates = (Gate(fate), Gate(Fate.ANSWERS))
-    head = await ask(path, gates)
+@pytest.mark.parametrize(
+    'behaviour',
+    [GateBehaviour.ASKS_AND_CLOSES, GateBehaviour.RUNS_AND_CLOSES],
+)
+async def test_complete_request_is_not_sent_again(proxy, behaviour):
+    gates = (Gate(behaviour), Gate(GateBehaviour.ANSWERS))
+    head = await ask(proxy, gates)
     assert b'Hillfield-Outcome: unknown\r\n' in head
     assert not gates[1].heads
-    assert isinstance(path.dispatching.only_observation(), Broken)
+    assert isinstance(proxy.dispatching.only_observation(), Broken)
 
 
-async def test_deadline_before_it_was_handed_over_is_not_run(path):
-    gate = Gate(Fate.SILENT)
-    head = await ask(path, [gate], plan=SHORT)
+async def test_deadline_of_incomplete_request_is_not_run(proxy):
+    gate = Gate(GateBehaviour.SILENT)
+    head = await ask(proxy, [gate], plan=SHORT)
     assert head.startswith(b'HTTP/1.1 503')
     assert b'Hillfield-Outcome: not-run\r\n' in head
-    assert path.dispatching.only_observation() == NothingWritten(
+    assert proxy.dispatching.only_observation() == NothingWritten(
         'deadline passed',
     )
 
 
-async def test_a_connection_that_has_just_answered_is_not_doubted(path):
-    gate = Gate(Fate.ANSWERS, Fate.ANSWERS)
-    await open_path(path, [gate], after=MINUTE)
-    await path.ask(POST)
-    await path.ask(POST)
-    doubted = [b'100-continue' in head for head in gate.heads]
-    assert doubted == [True, False]
+async def test_connection_that_has_just_answered_is_proven(proxy):
+    gate = Gate(GateBehaviour.ANSWERS, GateBehaviour.ANSWERS)
+    await open_path(proxy, [gate], after=MINUTE)
+    await proxy.ask(POST)
+    await proxy.ask(POST)
+    two_steps = [b'100-continue' in head for head in gate.heads]
+    assert two_steps == [True, False]
 
 
-async def test_what_may_run_again_was_not_repeated_before_it_is_handed_over(
-    path,
+async def test_sending_incomplete_request_elsewhere_is_no_retry(
+    proxy,
 ):
-    """Repeats are few: it was told 502 where they had run out."""
-    gates = (Gate(Fate.SILENT), Gate(Fate.ANSWERS))
-    head = await ask(path, gates, plan=AGAIN)
+    """Retries are limited: the request failed with 502 once none was left."""
+    gates = (Gate(GateBehaviour.SILENT), Gate(GateBehaviour.ANSWERS))
+    head = await ask(proxy, gates, plan=IDEMPOTENT)
     assert head.startswith(b'HTTP/1.1 200')
-    assert isinstance(path.dispatching.observations()[0], NothingWritten)
+    assert isinstance(proxy.dispatching.observations()[0], NothingWritten)
 
 
-async def test_a_gate_that_has_asked_has_shown_life(path):
-    """It may be slow to answer: its way is choked, or its target works."""
-    gate = Gate(Fate.ANSWERS)
-    gate.pause = 2 * SIGN_WITHIN
-    head = await ask(path, [gate], plan=AGAIN)
+async def test_request_for_the_rest_counts_as_keepalive(proxy):
+    """It may answer slowly, as its network path or its target is slow."""
+    gate = Gate(GateBehaviour.ANSWERS)
+    gate.pause = 2 * KEEPALIVE_WITHIN
+    head = await ask(proxy, [gate], plan=IDEMPOTENT)
     assert head.startswith(b'HTTP/1.1 200')
     assert len(gate.runs) == 1
 
 
-async def ask_and_judge(path, gates, raw):
-    """Send a request; what is told of it must be true, and it runs once."""
+async def ask_and_check(proxy, gates, raw):
+    """Send a request; it runs at most once, and its outcome must be true."""
     before = count_runs(gates)
-    answer = await path.ask(raw)
+    answer = await proxy.ask(raw)
     ran = count_runs(gates) - before
     assert ran <= 1
-    untrue = b'Hillfield-Outcome: not-run' if ran else b'HTTP/1.1 200'
-    assert untrue not in answer[0]
+    contradiction = b'Hillfield-Outcome: not-run' if ran else b'HTTP/1.1 200'
+    assert contradiction not in answer[0]
 
 
-@pytest.mark.parametrize('after', [NEVER_PROVEN, 0.001, MINUTE])
+@pytest.mark.parametrize('after', [ALWAYS_UNPROVEN, 0.001, MINUTE])
 @pytest.mark.parametrize('seed', range(20))
-async def test_it_runs_once_at_most_and_what_is_told_is_true(path, seed, after):
-    """Three gates whose fates are drawn take ten requests."""
-    source = Random(seed)
-    gates = [Gate(*draw(source, FATES)) for _ in range(3)]
-    await open_path(path, gates, after=after)
-    for raw in draw(source, (POST, EMPTY)):
-        await ask_and_judge(path, gates, raw)  # noqa: WPS476 in turn
+async def test_request_runs_at_most_once_and_its_outcome_is_true(
+    proxy,
+    seed,
+    after,
+):
+    """Send ten requests to three gates with random behaviour."""
+    random = Random(seed)
+    gates = [Gate(*choose(random, BEHAVIOURS)) for _ in range(3)]
+    await open_path(proxy, gates, after=after)
+    for raw in choose(random, (POST, EMPTY)):
+        await ask_and_check(proxy, gates, raw)  # noqa: WPS476 in turn
 
 
-def draw(source, kinds):
-    return source.choices(kinds, k=10)
+def choose(random, kinds):
+    return random.choices(kinds, k=10)
 
 
 def count_runs(gates):
--- a/hillfield/proxy/tests/test_pipeline_stories.py
+++ b/hillfield/proxy/tests/test_interleavings.py
@@ -1,6 +1,6 @@
-"""Any order in which pipelined requests end."""
+"""Random orders in which pipelined requests end."""
 
-# Tests are untyped, so are the doubles that they share.
+# The tests and their shared doubles are untyped.
 # mypy: disable-error-code="no-untyped-call, var-annotated"
 
 import asyncio
@@ -8,18 +8,18 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from hillfield.proxy.tests.conftest import TRIAL_SECONDS, Path
-from hillfield.proxy.tests.gatetarget import (
+from hillfield.proxy.tests.conftest import TRIAL_SECONDS, ProxyHarness
+from hillfield.proxy.tests.gatedtarget import (
+    idempotent_request,
+    once_request,
     open_with,
-    safe,
-    settle,
+    run_pending,
     start,
-    unsafe,
 )
 
 LARGE = 100_000
 KINDS = st.sampled_from(('read', 'write', 'refused', 'large', 'broken'))
-STORIES = st.lists(KINDS, min_size=1, max_size=9).flatmap(
+INTERLEAVINGS = st.lists(KINDS, min_size=1, max_size=9).flatmap(
     lambda kinds: st.tuples(
         st.just(kinds),
         st.permutations(range(len(kinds))),
@@ -28,14 +28,14 @@
 )
 
 
-class Story:
-    """Play pipelined requests, and judge each answer by its body and id."""
+class Interleaving:
+    """Run pipelined requests, and check each answer by its body and id."""
 
     def __init__(self, kinds, order, depth):
         self.kinds = kinds
         self.order = order
         self.depth = depth
-        self.path = Path()
+        self.proxy = ProxyHarness()
         self.answered = 0
 
     def name(self, number):
@@ -45,19 +45,23 @@
 
     def raw(self, number):
         name = self.name(number)
-        return unsafe(name) if self.kinds[number] == 'write' else safe(name)
-
-    async def play(self):
-        gate = await start(self.path, pipeline_depth=self.depth)
+        return (
+            once_request(name)
+            if self.kinds[number] == 'write'
+            else idempotent_request(name)
+        )
+
+    async def run(self):
+        gate = await start(self.proxy, pipeline_depth=self.depth)
         self.prepare(gate)
-        asked = map(self.raw, range(len(self.kinds)))
-        reader, writer = await open_with(self.path, *asked)
-        letting = asyncio.create_task(self.let_out(gate))
-        await self.judge_all(gate, reader)
-        await letting
-        self.judge_begun(gate)
+        requests = map(self.raw, range(len(self.kinds)))
+        reader, writer = await open_with(self.proxy, *requests)
+        releasing = asyncio.create_task(self.release(gate))
+        await self.check_all(gate, reader)
+        await releasing
+        self.check_begun(gate)
         writer.close()
-        self.path.server.abandon()
+        self.proxy.server.abandon()
 
     def prepare(self, gate):
         gate.broken = self.names_of('broken')
@@ -71,24 +75,24 @@
             if kind == wanted
         }
 
-    async def let_out(self, gate):
+    async def release(self, gate):
         left = list(self.order)
         while left:
-            gate.let_out(self.name(left.pop()))
-            await settle()
+            gate.release(self.name(left.pop()))
+            await run_pending()
 
-    async def judge_all(self, gate, reader):
+    async def check_all(self, gate, reader):
         while self.answered < len(self.kinds):
             try:
-                head, body = await self.path.read(reader)
+                head, body = await self.proxy.read(reader)
             except (ConnectionError, asyncio.IncompleteReadError):
-                # Only an answer that breaks off in its turn ends it all.
+                # Only a broken answer whose slot is open ends the connection.
                 assert self.kinds[self.answered] == 'broken'
                 return
-            self.judge(gate, head, body)
+            self.check(gate, head, body)
             self.answered += 1
 
-    def judge(self, gate, head, body):
+    def check(self, gate, head, body):
         name = self.name(self.answered)
         kind = self.kinds[self.answered]
         assert b'X-Request-Id: %s\r\n' % name in head
@@ -97,22 +101,22 @@
         if kind not in status:
             assert body == gate.body_of(name)
 
-    def judge_begun(self, gate):
-        """Look when requests began, above all those that run once."""
+    def check_begun(self, gate):
+        """Check when requests began, above all those that run once."""
         assert len(set(gate.begun)) == len(gate.begun)
         begun = set(gate.begun)
         assert not begun & self.names_of('refused')
         answered = set(map(self.name, range(self.answered)))
         assert answered - self.names_of('refused') <= begun
         for name in begun & self.names_of('write'):
-            self.judge_turn(gate, name)
+            self.check_position(gate, name)
 
-    def judge_turn(self, gate, turn):
-        """Nothing before is open, and nothing behind has begun."""
+    def check_position(self, gate, name_begun):
+        """Check that earlier answers were sent, and no later request began."""
         names = list(map(self.name, range(len(self.kinds))))
-        number = names.index(turn)
+        number = names.index(name_begun)
         assert number <= self.answered
-        place = gate.log.index(('begun', turn))
+        place = gate.log.index(('begun', name_begun))
         before = gate.log[:place]
         known = {name for _, name in before}
         assert known == {name for event, name in before if event == 'out'}
@@ -120,7 +124,7 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(STORIES)
-def test_any_interleaving_gives_each_request_its_own_answer(story):
-    playing = Story(*story).play()
-    asyncio.run(asyncio.wait_for(playing, TRIAL_SECONDS))
+@given(INTERLEAVINGS)
+def test_any_interleaving_gives_each_request_its_own_answer(interleaving):
+    running = Interleaving(*interleaving).run()
+    asyncio.run(asyncio.wait_for(running, TRIAL_SECONDS))
--- a/hillfield/proxy/tests/test_notices.py
+++ b/hillfield/proxy/tests/test_notices.py
@@ -1,4 +1,4 @@
-"""Which answers say something of their target, and what is read of them."""
+"""Notices in the headers of targets' answers."""
 
 from pytest import mark
 from tornado.httputil import HTTPHeaders
@@ -7,41 +7,41 @@
 from hillfield.proxy.notices import AnswerWords, NoticingDialect
 from hillfield.proxy.unread import UnreadHeaders
 
-WORDS = AnswerWords('X-Digest', 'X-Limit', 'X-Leaving')
+HEADER_NAMES = AnswerWords('X-Digest', 'X-Limit', 'X-Leaving')
 
 
 def read(status=200, **headers):
-    unread = UnreadHeaders(WORDS.list_names(), ListJournal(), print)
+    unread = UnreadHeaders(HEADER_NAMES.list_names(), ListJournal(), print)
     named = {f'X-{name}': text for name, text in headers.items()}
     answer = HTTPHeaders(named)
-    return NoticingDialect(WORDS, unread).read_notice(status, answer)
+    return NoticingDialect(HEADER_NAMES, unread).read_notice(status, answer)
 
 
-def test_an_answer_without_its_digest_says_nothing():
+def test_answer_without_digest_has_no_notice():
     assert read(Limit='2', Leaving='1') is None
 
 
-def test_a_misdirected_answer_says_nothing_of_this_life():
+def test_misdirected_answer_has_no_notice():
     assert read(421, Digest='d', Limit='2', Leaving='1') is None
 
 
-def test_a_signed_failure_and_a_signed_refusal_say_it_too():
+def test_signed_failures_carry_notices():
     assert read(500, Digest='d', Limit='24').rate == 24
     assert read(503, Digest='d', Leaving='1').leaving
 
 
-def test_an_answer_without_the_words_says_that_there_is_no_need():
-    said = read(Digest='d')
-    assert (said.rate, said.leaving, said.vague) == (None, False, False)
+def test_signed_answer_without_headers_sets_no_limit():
+    notice = read(Digest='d')
+    assert (notice.rate, notice.leaving, notice.vague) == (None, False, False)
 
 
-def test_of_a_limit_given_twice_the_least_counts():
+def test_lowest_of_two_limits_counts():
     headers = HTTPHeaders({'X-Digest': 'd', 'X-Limit': '7'})
     headers.add('X-Limit', '3')
-    unread = UnreadHeaders(WORDS.list_names(), ListJournal(), print)
-    said = NoticingDialect(WORDS, unread).read_notice(200, headers)
-    assert said is not None
-    assert said.rate == 3
+    unread = UnreadHeaders(HEADER_NAMES.list_names(), ListJournal(), print)
+    notice = NoticingDialect(HEADER_NAMES, unread).read_notice(200, headers)
+    assert notice is not None
+    assert notice.rate == 3
 
 
 @mark.parametrize(
@@ -61,22 +61,22 @@
         '2.5'.ljust(400, '0'),
     ),
 )
-def test_what_is_no_decimal_number_neither_limits_nor_lifts(text):
-    said = read(Digest='d', Limit=text)
-    assert said.rate is None
-    assert said.vague
-    assert 'X-Limit' in said.unread
-    assert len(said.unread) < 80
+def test_invalid_limit_has_no_effect(text):
+    notice = read(Digest='d', Limit=text)
+    assert notice.rate is None
+    assert notice.vague
+    assert 'X-Limit' in notice.unread
+    assert len(notice.unread) < 80
 
 
 @mark.parametrize('text', ('', 'yes', '2', '-1', 'true'))
-def test_what_is_no_flag_is_told_and_not_taken_for_leaving(text):
-    said = read(Digest='d', Limit='2', Leaving=text)
-    assert not said.leaving
-    assert said.unread
-    assert said.rate == 2
+def test_invalid_leaving_flag_is_reported_and_ignored(text):
+    notice = read(Digest='d', Limit='2', Leaving=text)
+    assert not notice.leaving
+    assert notice.unread
+    assert notice.rate == 2
 
 
-def test_a_flag_given_twice_is_read_once():
+def test_repeated_leaving_flag():
     assert read(Digest='d', Leaving='1, 1').leaving
     assert not read(Digest='d', Leaving='0').leaving
--- a/hillfield/proxy/tests/test_ordering.py
+++ b/hillfield/proxy/tests/test_ordering.py
@@ -1,6 +1,6 @@
 """Order of answers, without a network."""
 
-# Tests are untyped, so are the doubles that they share.
+# The tests and their shared doubles are untyped.
 # mypy: disable-error-code="no-untyped-call, arg-type"
 
 import asyncio
@@ -15,54 +15,54 @@
 
 
 class Answer:
-    """Note when it may be written."""
+    """Answer that records when it may be written."""
 
     def __init__(self, held=0, closing=False):
         self.held = held
         self.closing = closing
-        self.came = False
-        self.left = False
+        self.opened = False
+        self.cancelled = False
 
     def open(self):
-        assert not self.came
-        self.came = True
+        assert not self.opened
+        self.opened = True
 
-    def leave(self):
-        self.left = True
+    def cancel(self):
+        self.cancelled = True
 
 
 def join(order, *answers):
     for answer in answers:
-        order.join(answer, answer.leave)
+        order.join(answer, answer.cancel)
 
 
-def test_the_first_takes_its_turn_at_once():
+def test_first_slot_opens_immediately():
     order = AnswerOrder(DEPTH, LIMIT)
     first, second = Answer(), Answer()
     join(order, first, second)
-    assert first.came
-    assert not second.came
+    assert first.opened
+    assert not second.opened
 
 
-async def test_the_next_takes_its_turn_once_the_first_has_ended():
+async def test_next_slot_opens_once_the_first_has_ended():
     order = AnswerOrder(DEPTH, LIMIT)
     first, second = Answer(), Answer()
     join(order, first, second)
     order.advance(second)
-    assert not second.came
+    assert not second.opened
     order.advance(first)
-    assert second.came
+    assert second.opened
 
 
-async def test_nothing_follows_an_answer_that_closes():
+async def test_no_slot_opens_after_an_answer_that_closes():
     order = AnswerOrder(DEPTH, LIMIT)
     first, second = Answer(closing=True), Answer()
     join(order, first, second)
     order.advance(first)
-    assert not second.came
+    assert not second.opened
 
 
-def test_room_ends_with_the_depth():
+def test_requests_are_bounded_by_the_depth():
     order = AnswerOrder(2, LIMIT)
     join(order, Answer())
     assert order.accepts_more()
@@ -70,7 +70,7 @@
     assert not order.accepts_more()
 
 
-def test_room_ends_with_what_is_held():
+def test_requests_are_bounded_by_buffered_bytes():
     order = AnswerOrder(DEPTH, LIMIT)
     join(order, Answer(), Answer(LIMIT))
     assert order.accepts_more()
@@ -78,7 +78,7 @@
     assert not order.accepts_more()
 
 
-def test_the_last_read_closes():
+def test_last_request_read_closes():
     order = AnswerOrder(DEPTH, LIMIT)
     assert not order.close_after_last()
     first, last = Answer(), Answer()
@@ -88,7 +88,7 @@
     assert last.closing
 
 
-async def test_leaving_cancels_all_and_wakes_who_waits():
+async def test_cancel_all_wakes_the_reader():
     order = AnswerOrder(DEPTH, LIMIT)
     answers = [Answer(), Answer()]
     join(order, *answers)
@@ -96,13 +96,13 @@
     await asyncio.sleep(0)
     order.cancel_all()
     await waiting
-    assert all(answer.left for answer in answers)
+    assert all(answer.cancelled for answer in answers)
     assert not order.is_busy()
 
 
 @given(st.lists(st.integers(0, 9)))
-def test_turns_come_in_the_order_of_joining(ends):
-    async def play():
+def test_slots_open_in_order(ends):
+    async def run():
         order = AnswerOrder(DEPTH, LIMIT)
         answers = [Answer() for _ in range(10)]
         join(order, *answers)
@@ -110,7 +110,9 @@
         for number in ends:
             order.advance(answers[number])
             due += number == due
-            came = [answer.came for answer in answers]
-            assert came == [turn <= due for turn in range(len(answers))]
+            opened = [answer.opened for answer in answers]
+            assert opened == [
+                position <= due for position in range(len(answers))
+            ]
 
-    asyncio.run(play())
+    asyncio.run(run())
--- a/hillfield/proxy/tests/test_pipeline_ends.py
+++ b/hillfield/proxy/tests/test_pipeline_ends.py
@@ -1,88 +1,95 @@
-"""Ends of connections on which requests run side by side."""
+"""Ends of connections with pipelined requests."""
 
-# Tests are untyped, so are the doubles that they share.
+# The tests and their shared doubles are untyped.
 # mypy: disable-error-code="no-untyped-call, var-annotated"
 
 import asyncio
 
 import pytest
 
-from hillfield.proxy.tests.gatetarget import (
+from hillfield.proxy.tests.gatedtarget import (
+    idempotent_request,
+    once_request,
     open_reads,
     open_with,
-    safe,
     start,
-    unsafe,
 )
 from hillfield.routing.requests import CallerGone
 
 HUGE = 3_000_000
 
 
-async def test_the_end_of_one_answer_takes_none_before_it_back(path):
-    gate = await start(path)
+async def test_broken_answer_keeps_earlier_answers(proxy):
+    gate = await start(proxy)
     gate.sizes = {b'/a': HUGE, b'/b': HUGE}
     gate.broken = {b'/b'}
-    reader, writer = await open_reads(path, b'/a', b'/b', b'/c')
+    reader, writer = await open_reads(proxy, b'/a', b'/b', b'/c')
     await gate.wait_for(lambda: len(gate.begun) == 3)
-    gate.let_out(b'/b', b'/a')
-    assert (await path.read(reader))[1] == gate.body_of(b'/a')
+    gate.release(b'/b', b'/a')
+    assert (await proxy.read(reader))[1] == gate.body_of(b'/a')
     with pytest.raises(asyncio.IncompleteReadError):
-        await path.read(reader)
+        await proxy.read(reader)
     await gate.wait_for(lambda: b'/c' in gate.dropped)
     writer.close()
 
 
-async def test_an_answer_that_breaks_off_in_its_turn_ends_the_connection(path):
-    gate = await start(path)
+async def test_broken_first_answer_ends_the_connection(proxy):
+    gate = await start(proxy)
     gate.sizes = {b'/a': HUGE}
     gate.broken = {b'/a'}
-    reader, writer = await open_reads(path, b'/a', b'/b')
+    reader, writer = await open_reads(proxy, b'/a', b'/b')
     await gate.wait_for(lambda: len(gate.begun) == 2)
-    gate.let_out(b'/a')
+    gate.release(b'/a')
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-        await path.read(reader)
+        await proxy.read(reader)
     await gate.wait_for(lambda: b'/b' in gate.dropped)
-    assert CallerGone() in path.dispatching.observations()
+    assert CallerGone() in proxy.dispatching.observations()
     writer.close()
 
 
-async def test_a_caller_that_leaves_cancels_all(path):
-    gate = await start(path)
-    _, writer = await open_reads(path, b'/a', b'/b', b'/c')
+async def test_caller_disconnect_cancels_all_requests(proxy):
+    gate = await start(proxy)
+    _, writer = await open_reads(proxy, b'/a', b'/b', b'/c')
     await gate.wait_for(lambda: len(gate.begun) == 3)
     writer.close()
     await gate.wait_for(lambda: len(gate.dropped) == 3)
-    observed = path.dispatching.observations()
+    observed = proxy.dispatching.observations()
     assert observed == [CallerGone(), CallerGone(), CallerGone()]
-    while path.server.count_connections():
+    while proxy.server.count_connections():
         await asyncio.sleep(0)
-    assert not path.server.count_requests()
+    assert not proxy.server.count_requests()
 
 
-async def test_what_waits_does_not_run_for_a_caller_that_left(path):
-    gate = await start(path)
-    asked = safe(b'/a'), unsafe(b'/u'), safe(b'/c')
-    _, writer = await open_with(path, *asked)
+async def test_waiting_request_of_disconnected_caller_does_not_run(proxy):
+    gate = await start(proxy)
+    asked = (
+        idempotent_request(b'/a'),
+        once_request(b'/u'),
+        idempotent_request(b'/c'),
+    )
+    _, writer = await open_with(proxy, *asked)
     await gate.wait_for(lambda: gate.begun)
     writer.close()
-    # It is noticed in the sweep, or else at the turn.
-    path.server._connections.sweep(asyncio.get_running_loop().time())
+    # The sweep detects it, or else the opening of the next slot.
+    proxy.server._connections.sweep(asyncio.get_running_loop().time())
     await gate.wait_for(lambda: gate.dropped)
-    while path.server.count_connections():
+    while proxy.server.count_connections():
         await asyncio.sleep(0)
     assert gate.begun == [b'/a']
 
 
-async def test_nothing_follows_a_request_that_closes(path):
-    gate = await start(path)
-    last = safe(b'/b').replace(b'Host', b'Connection: close\r\nHost')
-    asked = safe(b'/a'), last, unsafe(b'/u')
-    reader, writer = await open_with(path, *asked)
+async def test_no_request_runs_after_one_that_closes(proxy):
+    gate = await start(proxy)
+    last = idempotent_request(b'/b').replace(
+        b'Host',
+        b'Connection: close\r\nHost',
+    )
+    asked = idempotent_request(b'/a'), last, once_request(b'/u')
+    reader, writer = await open_with(proxy, *asked)
     await gate.wait_for(lambda: gate.begun)
-    gate.let_out(b'/a', b'/b', b'/u')
-    assert (await path.read(reader))[1] == b'/a'
-    head, body = await path.read(reader)
+    gate.release(b'/a', b'/b', b'/u')
+    assert (await proxy.read(reader))[1] == b'/a'
+    head, body = await proxy.read(reader)
     assert b'Connection: close\r\n' in head
     assert body == b'/b'
     assert await reader.read() == b''
@@ -90,88 +97,95 @@
     writer.close()
 
 
-async def test_a_malformed_head_is_refused_behind_the_answers(path):
-    gate = await start(path)
+async def test_malformed_head_is_refused_after_earlier_answers(proxy):
+    gate = await start(proxy)
     bad = b'GET /bad HTTP/1.1\r\nHost : t\r\n\r\n'
-    asked = safe(b'/a'), bad, safe(b'/c')
-    reader, writer = await open_with(path, *asked)
+    asked = idempotent_request(b'/a'), bad, idempotent_request(b'/c')
+    reader, writer = await open_with(proxy, *asked)
     await gate.wait_for(lambda: gate.begun)
-    gate.let_out(b'/a')
-    assert (await path.read(reader))[1] == b'/a'
-    head, _ = await path.read(reader)
+    gate.release(b'/a')
+    assert (await proxy.read(reader))[1] == b'/a'
+    head, _ = await proxy.read(reader)
     assert head.startswith(b'HTTP/1.1 400')
     assert await reader.read() == b''
     assert gate.begun == [b'/a']
     writer.close()
 
 
-async def test_a_head_that_is_too_large_is_refused_behind_the_answers(path):
-    gate = await start(path, head_limit=1000)
-    long = safe(b'/b').replace(b'Host', b'X-Long: %s\r\nHost' % (b'l' * 2000))
-    asked = safe(b'/a'), long
-    reader, writer = await open_with(path, *asked)
+async def test_oversized_head_is_refused_after_earlier_answers(proxy):
+    gate = await start(proxy, head_limit=1000)
+    long = idempotent_request(b'/b').replace(
+        b'Host',
+        b'X-Long: %s\r\nHost' % (b'l' * 2000),
+    )
+    asked = idempotent_request(b'/a'), long
+    reader, writer = await open_with(proxy, *asked)
     await gate.wait_for(lambda: gate.begun)
-    gate.let_out(b'/a')
-    assert (await path.read(reader))[1] == b'/a'
-    assert (await path.read(reader))[0].startswith(b'HTTP/1.1 431')
+    gate.release(b'/a')
+    assert (await proxy.read(reader))[1] == b'/a'
+    assert (await proxy.read(reader))[0].startswith(b'HTTP/1.1 431')
     writer.close()
 
 
-async def test_a_refusal_behind_a_cut_takes_no_answer_back(path):
-    gate = await start(path)
+async def test_refusal_after_broken_answer_keeps_earlier_answers(proxy):
+    gate = await start(proxy)
     gate.sizes = {b'/a': HUGE, b'/b': HUGE}
     gate.broken = {b'/b'}
-    asked = safe(b'/a'), safe(b'/b'), b'GET /bad HTTP/1.1\r\nHost : t\r\n\r\n'
-    reader, writer = await open_with(path, *asked)
+    asked = (
+        idempotent_request(b'/a'),
+        idempotent_request(b'/b'),
+        b'GET /bad HTTP/1.1\r\nHost : t\r\n\r\n',
+    )
+    reader, writer = await open_with(proxy, *asked)
     await gate.wait_for(lambda: len(gate.begun) == 2)
-    gate.let_out(b'/a', b'/b')
-    assert (await path.read(reader))[1] == gate.body_of(b'/a')
+    gate.release(b'/a', b'/b')
+    assert (await proxy.read(reader))[1] == gate.body_of(b'/a')
     with pytest.raises(asyncio.IncompleteReadError):
-        await path.read(reader)
+        await proxy.read(reader)
     writer.close()
 
 
-async def test_a_late_head_is_refused_behind_the_answers(path):
-    gate = await start(path, head_timeout=1)
-    asked = safe(b'/a'), b'GET /b'
-    reader, writer = await open_with(path, *asked)
+async def test_late_head_is_refused_after_earlier_answers(proxy):
+    gate = await start(proxy, head_timeout=1)
+    asked = idempotent_request(b'/a'), b'GET /b'
+    reader, writer = await open_with(proxy, *asked)
     await gate.wait_for(lambda: gate.begun)
     now = asyncio.get_running_loop().time()
-    path.server._connections.sweep(now)
-    path.server._connections.sweep(now + 2)
-    path.server._connections.sweep(now + 4)
-    gate.let_out(b'/a')
-    assert (await path.read(reader))[1] == b'/a'
-    assert (await path.read(reader))[0].startswith(b'HTTP/1.1 408')
+    proxy.server._connections.sweep(now)
+    proxy.server._connections.sweep(now + 2)
+    proxy.server._connections.sweep(now + 4)
+    gate.release(b'/a')
+    assert (await proxy.read(reader))[1] == b'/a'
+    assert (await proxy.read(reader))[0].startswith(b'HTTP/1.1 408')
     assert await reader.read() == b''
     writer.close()
 
 
-async def test_a_connection_with_work_is_not_idle(path):
-    gate = await start(path, idle_timeout=1)
-    reader, writer = await open_reads(path, b'/a')
+async def test_connection_with_running_request_is_not_idle(proxy):
+    gate = await start(proxy, idle_timeout=1)
+    reader, writer = await open_reads(proxy, b'/a')
     await gate.wait_for(lambda: gate.begun)
     now = asyncio.get_running_loop().time()
-    path.server._connections.sweep(now + 2)
-    gate.let_out(b'/a')
-    assert (await path.read(reader))[1] == b'/a'
-    path.server._connections.sweep(now + 4)
+    proxy.server._connections.sweep(now + 2)
+    gate.release(b'/a')
+    assert (await proxy.read(reader))[1] == b'/a'
+    proxy.server._connections.sweep(now + 4)
     assert await reader.read() == b''
     writer.close()
 
 
-async def test_drain_answers_what_was_read(path):
-    gate = await start(path, drain_grace=0)
-    reader, writer = await open_reads(path, b'/a', b'/b')
+async def test_drain_answers_requests_already_read(proxy):
+    gate = await start(proxy, drain_grace=0)
+    reader, writer = await open_reads(proxy, b'/a', b'/b')
     await gate.wait_for(lambda: len(gate.begun) == 2)
-    gate.let_out(b'/b')
+    gate.release(b'/b')
     await gate.wait_for(lambda: b'/b' in gate.ended)
-    draining = asyncio.create_task(path.server.drain())
+    draining = asyncio.create_task(proxy.server.drain())
     await asyncio.sleep(0)
-    writer.write(unsafe(b'/u'))
-    gate.let_out(b'/a')
-    first = await path.read(reader)
-    last = await path.read(reader)
+    writer.write(once_request(b'/u'))
+    gate.release(b'/a')
+    first = await proxy.read(reader)
+    last = await proxy.read(reader)
     assert first[1] == b'/a'
     assert b'Connection: close' not in first[0]
     assert last[1] == b'/b'
@@ -183,32 +197,40 @@
 
 
 @pytest.mark.parametrize('depth', [1, 4])
-async def test_what_came_before_the_end_does_not_run_after_it(path, depth):
-    """A caller asks anew for what lay unread behind a broken answer."""
-    gate = await start(path, pipeline_depth=depth)
+async def test_unread_requests_do_not_run_after_broken_answer(proxy, depth):
+    """A caller repeats requests that were unread behind a broken answer."""
+    gate = await start(proxy, pipeline_depth=depth)
     gate.sizes = {b'/u1': HUGE}
     gate.broken = {b'/u1'}
-    asked = unsafe(b'/u1'), unsafe(b'/u2'), safe(b'/c')
-    reader, writer = await open_with(path, *asked)
-    gate.let_out(b'/u1', b'/u2', b'/c')
+    asked = (
+        once_request(b'/u1'),
+        once_request(b'/u2'),
+        idempotent_request(b'/c'),
+    )
+    reader, writer = await open_with(proxy, *asked)
+    gate.release(b'/u1', b'/u2', b'/c')
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
-        await path.read(reader)
-    while path.server.count_connections():
+        await proxy.read(reader)
+    while proxy.server.count_connections():
         await asyncio.sleep(0)
     assert gate.begun == [b'/u1']
-    assert [head.path for head in path.plans.heads] == ['/u1']
+    assert [head.path for head in proxy.plans.heads] == ['/u1']
     writer.close()
 
 
 @pytest.mark.parametrize('depth', [1, 4])
-async def test_what_came_of_a_caller_that_left_does_not_run(path, depth):
-    gate = await start(path, pipeline_depth=depth)
-    _, writer = await open_with(path, unsafe(b'/u1'), unsafe(b'/u2'))
+async def test_unread_requests_of_disconnected_caller_do_not_run(proxy, depth):
+    gate = await start(proxy, pipeline_depth=depth)
+    _, writer = await open_with(
+        proxy,
+        once_request(b'/u1'),
+        once_request(b'/u2'),
+    )
     await gate.wait_for(lambda: gate.begun)
     writer.transport.abort()
-    path.server._connections.sweep(asyncio.get_running_loop().time())
-    while path.server.count_connections():
-        path.server._connections.sweep(asyncio.get_running_loop().time())
+    proxy.server._connections.sweep(asyncio.get_running_loop().time())
+    while proxy.server.count_connections():
+        proxy.server._connections.sweep(asyncio.get_running_loop().time())
         await asyncio.sleep(0)
     assert gate.begun == [b'/u1']
-    assert [head.path for head in path.plans.heads] == ['/u1']
+    assert [head.path for head in proxy.plans.heads] == ['/u1']
--- a/hillfield/proxy/tests/test_planning.py
+++ b/hillfield/proxy/tests/test_planning.py
@@ -1,6 +1,6 @@
-"""Which requests run beside others of their connection."""
+"""Which requests may run concurrently with others of their connection."""
 
-# Tests are untyped, so are the doubles that they share.
+# The tests and their shared doubles are untyped.
 # mypy: disable-error-code="no-untyped-call"
 
 import pytest
@@ -14,7 +14,7 @@
 from hillfield.proxy.planning import may_run_concurrently
 
 
-def order(idempotent=True, aim=1.0, fields=()):
+def build_request(idempotent=True, aim=1.0, fields=()):
     return PlannedRequest(
         RequestStartLine('GET', '/', 'HTTP/1.1'),
         HTTPHeaders(dict(fields)),
@@ -26,27 +26,29 @@
     )
 
 
-def runs(made):
-    return may_run_concurrently(made, made.headers)
+def is_concurrent(planned):
+    return may_run_concurrently(planned, planned.headers)
 
 
-def test_what_may_run_again_and_has_an_aim():
-    assert runs(order())
-    assert not runs(order(idempotent=False))
-    assert not runs(order(aim=0))
+def test_idempotent_request_with_aim():
+    assert is_concurrent(build_request())
+    assert not is_concurrent(build_request(idempotent=False))
+    assert not is_concurrent(build_request(aim=0))
 
 
 @pytest.mark.parametrize('name', ['Upgrade', 'Expect'])
-def test_what_asks_for_more_than_an_answer(name):
-    assert not runs(order(fields={name: 'x'}))
+def test_upgrade_and_expect(name):
+    assert not is_concurrent(build_request(fields={name: 'x'}))
 
 
-def test_bodies():
-    assert not runs(order(fields={'Content-Length': '1'}))
-    assert not runs(order(fields={'Transfer-Encoding': 'chunked'}))
-    assert runs(order(fields={'Content-Length': '0'}))
+def test_request_with_body():
+    assert not is_concurrent(build_request(fields={'Content-Length': '1'}))
+    assert not is_concurrent(
+        build_request(fields={'Transfer-Encoding': 'chunked'}),
+    )
+    assert is_concurrent(build_request(fields={'Content-Length': '0'}))
 
 
-def test_a_refusal_has_nothing_to_run():
+def test_refused_request():
     assert may_run_concurrently(None, HTTPHeaders())
     assert not may_run_concurrently(None, HTTPHeaders({'Content-Length': '1'}))
--- a/hillfield/proxy/tests/test_wakes.py
+++ b/hillfield/proxy/tests/test_poll_timers.py
@@ -1,6 +1,6 @@
-"""Test of polls at the times that dispatchers name."""
+"""Polls at the times at which dispatchers are due."""
 
-# The double is typed by use only.
+# The test double has no annotations.
 # mypy: disable-error-code="no-untyped-call, no-untyped-def, arg-type"
 
 import asyncio
@@ -9,15 +9,15 @@
 from hillfield.proxy.polltimers import PollTimers
 
 
-class Dues:
-    """Name one time after the other, then none."""
+class DueTimes:
+    """Dispatcher with one due time after the other, then none."""
 
     def __init__(self, *dues):
         self.dues = list(dues)
         self.polled = 0
         self.polled_once = asyncio.Event()
 
-    def note_polled(self):
+    def record_poll(self):
         self.polled += 1
         self.polled_once.set()
 
@@ -26,27 +26,27 @@
 
 
 async def schedule_twice(dues):
-    timers = PollTimers(Dues.note_polled)
+    timers = PollTimers(DueTimes.record_poll)
     timers.schedule(dues)
     timers.schedule(dues)
     await asyncio.wait_for(dues.polled_once.wait(), timeout=5)
 
 
-def test_polls_once_for_one_time_named_twice():
+def test_one_due_time_is_polled_once():
     due = monotonic() + 0.01
-    dues = Dues(due, due)
+    dues = DueTimes(due, due)
     asyncio.run(schedule_twice(dues))
     assert dues.polled == 1
 
 
-def test_earlier_time_takes_the_place_of_a_later_one():
+def test_earlier_due_time_replaces_a_later_one():
     now = monotonic()
-    dues = Dues(now + 60, now - 1)
+    dues = DueTimes(now + 60, now - 1)
     asyncio.run(schedule_twice(dues))
     assert dues.polled == 1
 
 
 def test_nothing_due_sets_no_timer():
-    dues = Dues()
+    dues = DueTimes()
     PollTimers(None).schedule(dues)
     assert not dues.polled
--- a/hillfield/proxy/tests/test_server.py
+++ b/hillfield/proxy/tests/test_server.py
@@ -7,32 +7,32 @@
 from msgspec.structs import replace
 
 from hillfield.proxy.exchanges import Exchange
-from hillfield.proxy.tests.gatetarget import read_bodies
+from hillfield.proxy.tests.gatedtarget import read_bodies
 from hillfield.routing.requests import Answered
 
 GET = b'GET /fees?x=1 HTTP/1.1\r\nHost: till\r\n\r\n'
 POST = b'POST /c HTTP/1.1\r\nHost: t\r\nContent-Length: 4\r\n\r\nbody'
 
 
-async def test_answer_and_order_of_reports(path):
-    target = await path.start()
-    head, body = await path.ask(GET)
+async def test_answer_and_order_of_reports(proxy):
+    target = await proxy.start()
+    head, body = await proxy.ask(GET)
     assert head.startswith(b'HTTP/1.1 200 OK\r\n')
     assert body == b'ok'
     assert target.requests[0][0].startswith(b'GET /fees?x=1 HTTP/1.1')
-    names = [entry[0] for entry in path.dispatching.seen]
+    names = [entry[0] for entry in proxy.dispatching.seen]
     assert names == ['admit', 'written', 'head', 'finish']
-    assert path.dispatching.observations() == [Answered(200)]
-    assert path.server.count_requests() == 0
+    assert proxy.dispatching.observations() == [Answered(200)]
+    assert proxy.server.count_requests() == 0
 
 
-async def test_headers_on_the_way(path):
-    target = await path.start(
+async def test_forwarded_headers(proxy):
+    target = await proxy.start(
         b'HTTP/1.1 200 OK\r\nContent-Length: 0\r\nX-Own: 1\r\n'
         b'Hillfield-Outcome: not-run\r\nConnection: X-Hop\r\n'
         b'X-Hop: 2\r\n\r\n',
     )
-    head, _ = await path.ask(
+    head, _ = await proxy.ask(
         b'GET / HTTP/1.1\r\nHost: t\r\nConnection: x-gone, keep-alive\r\n'
         b'X-Gone: 1\r\nTE: trailers\r\nHillfield-Account: thief\r\n'
         b'Authorization: Basic YmFrZXI6c2VjcmV0\r\nX-Stays: 3\r\n'
@@ -53,44 +53,44 @@
     assert b'X-Hop' not in head
     assert b'Hillfield' not in head
     assert b'X-Request-Id: till-7\r\n' in head
-    assert path.plans.heads[0].secret == 'secret'
+    assert proxy.plans.heads[0].secret == 'secret'
 
 
-async def test_keep_alive_uses_one_connection_each_way(path):
-    target = await path.start()
-    reader, writer = await path.open()
+async def test_keep_alive_uses_one_connection_each_way(proxy):
+    target = await proxy.start()
+    reader, writer = await proxy.open()
     answers: list[bytes] = []
     while len(answers) < 3:
         writer.write(POST)
-        answers.append((await path.read(reader))[1])
+        answers.append((await proxy.read(reader))[1])
     assert target.connections == 1
     assert [body for _, body in target.requests] == [b'body', b'body', b'body']
     writer.close()
 
 
-async def test_refusal_of_a_request_without_body_keeps_the_connection(path):
-    await path.start()
-    reader, writer = await path.open()
+async def test_refusal_of_a_request_without_body_keeps_the_connection(proxy):
+    await proxy.start()
+    reader, writer = await proxy.open()
     bad = b'GET / HTTP/1.1\r\nHost: t\r\nX-Deadline-Ms: -1\r\n\r\n'
     writer.write(b'%s%s' % (bad, GET))
-    head, body = await path.read(reader)
+    head, body = await proxy.read(reader)
     assert head.startswith(b'HTTP/1.1 400')
     assert b'"outcome":"not-run"' in body
-    assert (await path.read(reader))[1] == b'ok'
+    assert (await proxy.read(reader))[1] == b'ok'
     writer.close()
 
 
-async def test_caller_that_wants_its_connection_closed(path):
-    await path.start()
+async def test_caller_that_wants_its_connection_closed(proxy):
+    await proxy.start()
     closing = GET.replace(b'Host', b'Connection: close\r\nHost')
-    answer = await path.ask(closing, end=False)
+    answer = await proxy.ask(closing, end=False)
     assert b'Connection: close\r\n' in answer
     assert answer.endswith(b'\r\n\r\nok')
 
 
 @pytest.fixture
 def no_collection():
-    """Keep the garbage collector off during a test."""
+    """Disable the garbage collector during a test."""
     gc.collect()
     gc.disable()
     yield
@@ -98,39 +98,47 @@
 
 
 def list_exchanges():
-    return [kept for kept in gc.get_objects() if isinstance(kept, Exchange)]
+    return [
+        exchange
+        for exchange in gc.get_objects()
+        if isinstance(exchange, Exchange)
+    ]
 
 
-async def test_requests_leave_nothing_to_collect(path, no_collection):
-    """Only these requests count, not what earlier tests have left behind.
+async def test_requests_leave_no_garbage(proxy, no_collection):
+    """Only these requests count, not those of earlier tests.
 
-    Exchanges of another file's tests were found here: appointments of their
-    loops' timers held them, and no collection freed them.
+    Exchanges of another file's tests were found here: timers of their event
+    loops referenced them, and no collection freed them.
     """
     earlier = list_exchanges()
-    target = await path.start()
-    await path.ask(POST)
-    await path.ask(POST)
-    while path.server.count_connections():
+    target = await proxy.start()
+    await proxy.ask(POST)
+    await proxy.ask(POST)
+    while proxy.server.count_connections():
         await asyncio.sleep(0)
     assert len(target.requests) == 2
     left = [
-        kept
-        for kept in list_exchanges()
-        if not any(kept is known for known in earlier)
+        exchange
+        for exchange in list_exchanges()
+        if not any(exchange is known for known in earlier)
     ]
     assert not left
 
 
-async def test_reads_leave_nothing_to_collect(path, no_collection):
-    await path.start()
-    path.plans.plan = replace(path.plans.plan, idempotent=True, aim=1)
-    reader, writer = await path.open()
+async def test_pipelined_requests_leave_no_garbage(proxy, no_collection):
+    await proxy.start()
+    proxy.plans.plan = replace(proxy.plans.plan, idempotent=True, aim=1)
+    reader, writer = await proxy.open()
     writer.write(GET + GET + GET)
-    bodies = await read_bodies(path, reader, 3)
+    bodies = await read_bodies(proxy, reader, 3)
     assert bodies == [b'ok', b'ok', b'ok']
     writer.close()
-    while path.server.count_connections():
+    while proxy.server.count_connections():
         await asyncio.sleep(0)
-    left = [kept for kept in gc.get_objects() if isinstance(kept, Exchange)]
+    left = [
+        exchange
+        for exchange in gc.get_objects()
+        if isinstance(exchange, Exchange)
+    ]
     assert not left
--- a/hillfield/proxy/tests/test_smuggling.py
+++ b/hillfield/proxy/tests/test_smuggling.py
@@ -1,6 +1,6 @@
 """Ambiguous and oversized requests are refused, and the node serves on."""
 
-# Tests are untyped, so are the functions that they share.
+# The tests and their shared functions are untyped.
 # mypy: disable-error-code="no-untyped-call"
 
 import json
@@ -11,7 +11,7 @@
 from hillfield.events import EventCode
 
 GOOD = b'GET / HTTP/1.1\r\nHost: t\r\n\r\n'
-SHAPES = MappingProxyType(
+AMBIGUOUS = MappingProxyType(
     {
         'both lengths': b'POST / HTTP/1.1\r\nHost: t\r\nContent-Length: 3\r\n'
         b'Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n',
@@ -50,23 +50,23 @@
 )
 
 
-async def refused(path, raw):
+async def read_refusal(proxy, raw):
     """Return the refusal; the connection must end and the node serve on."""
-    answer = await path.ask(raw, end=False)
+    answer = await proxy.ask(raw, end=False)
     head, _, body = answer.partition(b'\r\n\r\n')
     assert b'HTTP/1.1' not in body
     assert b'Connection: close' in head
-    assert (await path.ask(GOOD))[1] == b'ok'
+    assert (await proxy.ask(GOOD))[1] == b'ok'
     return int(head.split()[1]), json.loads(body)
 
 
-@pytest.mark.parametrize('shape', SHAPES)
-async def test_ambiguous_requests(path, shape):
-    target = await path.start()
-    status, told = await refused(path, SHAPES[shape] + GOOD)
+@pytest.mark.parametrize('ambiguity', AMBIGUOUS)
+async def test_ambiguous_requests(proxy, ambiguity):
+    target = await proxy.start()
+    status, failure = await read_refusal(proxy, AMBIGUOUS[ambiguity] + GOOD)
     assert status == 400
-    assert told['outcome'] == 'not-run'
-    assert told['event'] == EventCode.REQUEST_MALFORMED
+    assert failure['outcome'] == 'not-run'
+    assert failure['event'] == EventCode.REQUEST_MALFORMED
     assert len(target.requests) == 1
 
 
@@ -85,9 +85,9 @@
         ),
     ],
 )
-async def test_oversized_requests(path, raw, status):
-    target = await path.start(body_limit=4000)
-    given, told = await refused(path, raw)
+async def test_oversized_requests(proxy, raw, status):
+    target = await proxy.start(body_limit=4000)
+    given, failure = await read_refusal(proxy, raw)
     assert given == status
-    assert told['outcome'] == 'not-run'
+    assert failure['outcome'] == 'not-run'
     assert len(target.requests) == 1
--- a/hillfield/proxy/tests/test_courses.py
+++ b/hillfield/proxy/tests/test_summaries.py
@@ -1,4 +1,4 @@
-"""What the line of a failure says of the request's course."""
+"""Summaries of attempts in the log entries of failures."""
 
 from msgspec.structs import replace
 
@@ -8,11 +8,11 @@
 from hillfield.routing.requests import Broken, ConnectFailed, Send
 
 PLAN = RequestPlan('fees', 'r-8', '', True, 1)
-HERE = Address('10.0.0.1', 80)
-SEND = Send('x', 1, TargetId('fees', HERE, 1), HERE)
+ADDRESS = Address('10.0.0.1', 80)
+SEND = Send('x', 1, TargetId('fees', ADDRESS, 1), ADDRESS)
 
 
-def test_a_course_tells_who_declined_and_when_the_first_target_saw_it():
+def test_summary_counts_attempts_and_dates_the_first_sent():
     summary = AttemptSummary(100.0)
     summary.record_end(None, Declined('full', None))
     summary.record_end(None, Declined('shunned', None, lasting=True))
@@ -28,14 +28,14 @@
     )
 
 
-def test_routes_are_told_apart_by_their_age():
+def test_route_age_classes():
     first = replace(PLAN, route_version=1)
     added = replace(PLAN, route_version=2, route_since=5.0)
     ages = [classify_route_age(plan, 20.0) for plan in (first, added)]
     assert (*ages, classify_route_age(added, 60.0)) == ('first', 'new', 'older')
 
 
-def test_a_gate_tells_no_age_of_a_route():
+def test_route_without_version_has_no_age():
     assert classify_route_age(PLAN, 20.0) is None
-    told = AttemptSummary(1.0).describe(PLAN, 1.5)
-    assert told.startswith('route r-8; 0.500 s: ')
+    description = AttemptSummary(1.0).describe(PLAN, 1.5)
+    assert description.startswith('route r-8; 0.500 s: ')
--- a/hillfield/proxy/tests/test_unread.py
+++ b/hillfield/proxy/tests/test_unread.py
@@ -1,4 +1,4 @@
-"""Which headers of targets' answers show as read by nobody."""
+"""Counts of unknown headers of targets' answers."""
 
 from collections import Counter
 
@@ -10,7 +10,7 @@
 KNOWN = frozenset(('X-Server-Signature',))
 
 
-def test_a_word_that_nobody_reads_is_told_once_and_counted():
+def test_unknown_header_is_logged_once_and_counted():
     journal = ListJournal()
     counts: Counter[str] = Counter()
     unread = UnreadHeaders(KNOWN, journal, lambda name: counts.update((name,)))
@@ -18,13 +18,13 @@
     unread.count_unknown(answer)
     unread.count_unknown(answer)
     assert counts == {'X-Target-Mood': 2}
-    assert [told.code for told in journal.occurrences] == [
+    assert [occurrence.code for occurrence in journal.occurrences] == [
         EventCode.ANSWER_HEADER_UNREAD,
     ]
     assert journal.occurrences[0].detail == 'X-Target-Mood'
 
 
-def test_names_are_bounded_where_a_target_invents_them():
+def test_counted_names_are_bounded():
     journal = ListJournal()
     counts: Counter[str] = Counter()
     unread = UnreadHeaders(KNOWN, journal, lambda name: counts.update((name,)))
--- a/hillfield/proxy/writing.py
+++ b/hillfield/proxy/writing.py
@@ -86,7 +86,7 @@
         self._release()
         self._slot.end()
 
-    def abort(self) -> None:
+    def abort_connection(self) -> None:
         """End the connection within the answer.
 
         A reset could also discard earlier answers that the caller has not read
