--- a/hillfield/proxy/checks.py
+++ b/hillfield/proxy/checks.py
@@ -35,10 +35,10 @@
     >>> check_body(checks, b'ab', 2)
     'body of 2 bytes'
     >>> check_body(checks, b'xyz', None)
-    'body starts otherwise'
+    'body without the required prefix'
     """
     if size is not None and size < checks.minimum_length:
         return f'body of {size} bytes'
     if not part.startswith(checks.required_prefix):
-        return 'body starts otherwise'
+        return 'body without the required prefix'
     return ''
--- a/hillfield/proxy/dialects.py
+++ b/hillfield/proxy/dialects.py
@@ -19,7 +19,7 @@
 MILLISECONDS: Final = 1000
 
 
-def tell_no_room() -> str:
+def report_no_capacity() -> str:
     """Return an empty string: this node has no gate."""
     return ''
 
@@ -40,7 +40,7 @@
     removed: frozenset[str] = frozenset()
     keeps_ids: bool = False
     fractional: bool = False
-    tell_room: Callable[[], str] = tell_no_room
+    tell_room: Callable[[], str] = report_no_capacity
 
 
 class TargetDialect(Protocol):
@@ -87,7 +87,7 @@
         """Return whether interim answers are keepalives of a node."""
 
 
-class OwnDialect:
+class HillfieldDialect:
     """Dialect of targets that use hillfield's own headers."""
 
     def add_fields(
--- a/hillfield/proxy/exchanges.py
+++ b/hillfield/proxy/exchanges.py
@@ -219,9 +219,9 @@
 
 def _find_deadline_failure(may_have_run: bool) -> RequestFailure:
     if may_have_run:
-        return Fault.DEADLINE_UNKNOWN.failure('no answer in time')
+        return Fault.DEADLINE_UNKNOWN.failure('no answer before the deadline')
     return Fault.DEADLINE_NOT_RUN.failure(
-        'not sent in time',
+        'not sent before the deadline',
         retry_after=_RETRY_AFTER,
     )
 
--- a/hillfield/proxy/forwarding.py
+++ b/hillfield/proxy/forwarding.py
@@ -104,7 +104,7 @@
                 Step.RELAY_ANSWER,
                 str(attempt.send.address),
                 int(EventCode.REQUEST_FAILED),
-                f'its target answered {status}',
+                f'the target answered {status}',
             ),
         )
 
--- a/hillfield/proxy/handover.py
+++ b/hillfield/proxy/handover.py
@@ -62,7 +62,7 @@
     def write_to(self, stream: NoDelayStream) -> None:
         """Write the request, or only its head on an unproven connection."""
         if stream.closed():
-            self.end(NothingWritten('connection ended before use'))
+            self.end(NothingWritten('connection closed before use'))
             return
         settings = self._resources.settings
         self._stream = stream
@@ -89,7 +89,7 @@
         if self._stream is None or self._sender is None or not waiting:
             return
         if self._stream.closed():
-            self.end(NothingWritten('connection ended before use'))
+            self.end(NothingWritten('connection closed before use'))
             return
         self._note_written()
         self._write(self._sender.write_rest)
--- a/hillfield/proxy/ports.py
+++ b/hillfield/proxy/ports.py
@@ -52,7 +52,7 @@
         """Return why a request must not be sent to any target, if so."""
 
 
-class NoGuard:
+class NoCrashGuard:
     """Crash guard that recognizes no request."""
 
     def identify(self, likeness: Likeness) -> bytes:
--- a/hillfield/proxy/server.py
+++ b/hillfield/proxy/server.py
@@ -11,7 +11,7 @@
 from hillfield.proxy.context import ProxyContext
 from hillfield.proxy.intake import Acceptor
 from hillfield.proxy.meters import NoMeter, RequestMeter
-from hillfield.proxy.ports import CrashGuard, NoGuard, PlanSource
+from hillfield.proxy.ports import CrashGuard, NoCrashGuard, PlanSource
 from hillfield.proxy.settings import ProxySettings
 from hillfield.routing.ports import Dispatchers
 from hillfield.routing.requests import Verdict
@@ -45,7 +45,7 @@
             dispatchers,
             journal,
             meter or NoMeter(),
-            guard or NoGuard(),
+            guard or NoCrashGuard(),
         )
         self.pool = self._context.pool
         self._acceptor: Acceptor | None = None
--- a/hillfield/proxy/settings.py
+++ b/hillfield/proxy/settings.py
@@ -4,7 +4,11 @@
 
 from hillfield.holding import ByteBudget, make_budget
 from hillfield.model import Address
-from hillfield.proxy.dialects import CallerDialect, OwnDialect, TargetDialect
+from hillfield.proxy.dialects import (
+    CallerDialect,
+    HillfieldDialect,
+    TargetDialect,
+)
 
 
 class ProxySettings(Struct, frozen=True):
@@ -51,4 +55,4 @@
     pipeline_depth: int = 4
     budget: ByteBudget = field(default_factory=make_budget)
     callers: CallerDialect = CallerDialect()
-    targets: TargetDialect = field(default_factory=OwnDialect)
+    targets: TargetDialect = field(default_factory=HillfieldDialect)
--- a/hillfield/proxy/summaries.py
+++ b/hillfield/proxy/summaries.py
@@ -25,14 +25,14 @@
 
     >>> summary = AttemptSummary(10.0)
     >>> summary.describe(RequestPlan('fees', 'r', '', True, 1), 10.25)
-    'route r; 0.250 s: declined 0 (0 held back), sent 0'
+    'route r; 0.250 s: declined 0 (0 withheld), sent 0'
     """
 
     def __init__(self, began: float) -> None:
         """Start without attempts."""
         self._began = began
         self._declined = 0
-        self._held_back = 0
+        self._withheld = 0
         self._unsent = 0
         self._sent = 0
         self._first_sent: float | None = None
@@ -50,7 +50,7 @@
         """Record how an attempt ended, and when it was written, if it was."""
         if isinstance(observation, Declined):
             self._declined += 1
-            self._held_back += observation.lasting
+            self._withheld += observation.lasting
         elif isinstance(observation, _UNSENT):
             self._unsent += 1
         else:
@@ -73,12 +73,12 @@
             parts.append(f'first after {after:.3f} s')
         if self._urgency:
             urgency = self._urgency.name.lower()
-            parts.append(f'{urgency} at last')
+            parts.append(f'last urgency {urgency}')
         opening, *rest = parts
         return '; '.join((opening, ', '.join(rest)))
 
     def _describe_declines(self, spent: float) -> str:
-        told = f'declined {self._declined} ({self._held_back} held back)'
+        told = f'declined {self._declined} ({self._withheld} withheld)'
         return f'{spent:.3f} s: {told}'
 
 
@@ -104,6 +104,6 @@
     if plan.route_version is None:
         return route
     if plan.route_since is None:
-        return f'{route} since the first table'
+        return f'{route} of the first routing table'
     age = now - plan.route_since
     return f'{route} of version {plan.route_version}, {age:.1f} s old'
--- a/hillfield/proxy/tests/test_faults.py
+++ b/hillfield/proxy/tests/test_faults.py
@@ -415,7 +415,7 @@
         'relay-answer',
     )
     assert logged.peer
-    opening = 'its target answered 500; route all; '
+    opening = 'the target answered 500; route all; '
     assert logged.detail.startswith(opening)
-    summary = 'declined 0 (0 held back), sent 1, first after '
+    summary = 'declined 0 (0 withheld), sent 1, first after '
     assert summary in logged.detail
--- a/hillfield/proxy/tests/test_handover.py
+++ b/hillfield/proxy/tests/test_handover.py
@@ -130,7 +130,8 @@
 
 @pytest.mark.parametrize('raw', [POST, EMPTY])
 @pytest.mark.parametrize(
-    'behaviour', [GateBehaviour.SILENT, GateBehaviour.CLOSES]
+    'behaviour',
+    [GateBehaviour.SILENT, GateBehaviour.CLOSES],
 )
 async def test_incomplete_request_is_sent_elsewhere(proxy, raw, behaviour):
     gates = (Gate(behaviour), Gate(GateBehaviour.ANSWERS))
--- a/hillfield/proxy/tests/test_intake.py
+++ b/hillfield/proxy/tests/test_intake.py
@@ -37,11 +37,14 @@
     intake = Intake()
     entered = []
 
-    async def enter(number):
+    async def enter_numbered(number):
         await intake.enter()
         entered.append(number)
 
-    tasks = [asyncio.create_task(enter(number)) for number in range(BURST_SIZE)]
+    tasks = [
+        asyncio.create_task(enter_numbered(number))
+        for number in range(BURST_SIZE)
+    ]
     passes = 0
     while len(entered) < BURST_SIZE:
         await asyncio.sleep(0)
@@ -87,8 +90,8 @@
         sock.sendall(GET)
     await proxy.server.drain()
     assert all(sock.recv(99).startswith(b'HTTP/1.1 200') for sock in socks)
-    for sock in socks:
-        sock.close()
+    for pending in socks:
+        pending.close()
 
 
 def open_burst(address):
--- a/hillfield/proxy/tests/test_interleavings.py
+++ b/hillfield/proxy/tests/test_interleavings.py
@@ -51,7 +51,7 @@
             else idempotent_request(name)
         )
 
-    async def run(self):
+    async def execute(self):
         gate = await start(self.proxy, pipeline_depth=self.depth)
         self.prepare(gate)
         requests = map(self.raw, range(len(self.kinds)))
@@ -126,5 +126,5 @@
 @settings(max_examples=60, deadline=None)
 @given(INTERLEAVINGS)
 def test_any_interleaving_gives_each_request_its_own_answer(interleaving):
-    running = Interleaving(*interleaving).run()
+    running = Interleaving(*interleaving).execute()
     asyncio.run(asyncio.wait_for(running, TRIAL_SECONDS))
--- a/hillfield/proxy/tests/test_ordering.py
+++ b/hillfield/proxy/tests/test_ordering.py
@@ -102,7 +102,7 @@
 
 @given(st.lists(st.integers(0, 9)))
 def test_slots_open_in_order(ends):
-    async def run():
+    async def join_and_advance():
         order = AnswerOrder(DEPTH, LIMIT)
         answers = [Answer() for _ in range(10)]
         join(order, *answers)
@@ -115,4 +115,4 @@
                 position <= due for position in range(len(answers))
             ]
 
-    asyncio.run(run())
+    asyncio.run(join_and_advance())
--- a/hillfield/proxy/tests/test_summaries.py
+++ b/hillfield/proxy/tests/test_summaries.py
@@ -23,8 +23,8 @@
     added = replace(PLAN, route_version=7, route_since=97.25)
     assert summary.describe(added, 100.351) == (
         'route r-8 of version 7, 3.1 s old; 0.351 s: declined 2 '
-        '(1 held back), sent 2, not reached 1, first after 0.335 s, '
-        'insists at last'
+        '(1 withheld), sent 2, not reached 1, first after 0.335 s, '
+        'last urgency insists'
     )
 
 
