--- a/hillfield/proxy/dialects.py
+++ b/hillfield/proxy/dialects.py
@@ -33,7 +33,8 @@
     tornado's normalized case. `keeps_ids`: a request's id is forwarded as
     received even if another request in flight has it; `fractional`: callers
     accept fractions of a second in `Retry-After`. `report_capacity` returns
-    the header with the capacity of the host's target (empty: none is sent)."""
+    the header with the capacity of the host's target (empty: none is sent).
+    """
 
     deadline: str = DEADLINE
     key_scheme: str = ''
@@ -60,7 +61,7 @@
         status: int,
         headers: HTTPHeaders,
     ) -> Observation | None:
-        """Return the observation for a failure answer; None for an answer."""
+        """Return what a failure means that the target did not produce."""
 
     def read_room(
         self,
--- a/hillfield/proxy/handover.py
+++ b/hillfield/proxy/handover.py
@@ -111,8 +111,8 @@
 
     def correct_observation(self, observation: Observation) -> Observation:
         """Map an end before the full request was written to NothingWritten."""
-        doubtful = isinstance(observation, (Broken, TimedOut))
-        if self.written_at is None and doubtful:
+        uncertain = isinstance(observation, (Broken, TimedOut))
+        if self.written_at is None and uncertain:
             return NothingWritten(read_observation(observation).detail)
         return observation
 
--- a/hillfield/proxy/notices.py
+++ b/hillfield/proxy/notices.py
@@ -28,7 +28,8 @@
 
     `digest`: only the target that made the answer can write it; `limit`: the
     requests a second that it accepts from all nodes together; `leaving`: 1 if
-    it accepts no new work; `others` are read elsewhere, or need not be read."""
+    it accepts no new work; `others` are read elsewhere, or need not be read.
+    """
 
     digest: str
     limit: str
--- a/hillfield/proxy/replies.py
+++ b/hillfield/proxy/replies.py
@@ -151,9 +151,9 @@
 
     def _begin(self, fields: Fields) -> None:
         self.begun = True
-        room = self._dialect.tell_room()
-        if room:
-            fields.add(ROOM, room)
+        capacity = self._dialect.tell_room()
+        if capacity:
+            fields.add(ROOM, capacity)
 
     def _answer(
         self,
--- a/hillfield/proxy/summaries.py
+++ b/hillfield/proxy/summaries.py
@@ -78,8 +78,8 @@
         return '; '.join((opening, ', '.join(rest)))
 
     def _describe_declines(self, spent: float) -> str:
-        told = f'declined {self._declined} ({self._withheld} withheld)'
-        return f'{spent:.3f} s: {told}'
+        declines = f'declined {self._declined} ({self._withheld} withheld)'
+        return f'{spent:.3f} s: {declines}'
 
 
 def classify_route_age(plan: RequestPlan, now: float) -> str | None:
--- a/hillfield/proxy/tests/conftest.py
+++ b/hillfield/proxy/tests/conftest.py
@@ -41,7 +41,7 @@
     """Dispatcher that sends to targets in order, and retries if not run."""
 
     targets: list = field(default_factory=list)
-    seen: list = field(default_factory=list)
+    calls: list = field(default_factory=list)
     queueing: bool = False
     hedging: bool = False
     failing: str = ''
@@ -62,31 +62,31 @@
 
     def admit(self, now, arrival):
         raise_if_failing(self.failing, 'admit')
-        self.seen.append(('admit', arrival))
+        self.calls.append(('admit', arrival))
         self.plans[arrival.request] = arrival.plan
         if self.queueing:
             return Wait(arrival.request)
         return self.send(arrival.request, 0)
 
     def note_written(self, now, attempt):
-        self.seen.append(('written', attempt))
+        self.calls.append(('written', attempt))
         raise_if_failing(self.failing, 'written')
 
     def note_head(self, now, attempt):
-        self.seen.append(('head', attempt))
+        self.calls.append(('head', attempt))
 
     def adopt_report(self, now, report):
-        self.seen.append(('capacity', report))
+        self.calls.append(('capacity', report))
 
     def note_notice(self, now, attempt, notice):
-        self.seen.append(('notice', attempt, notice))
+        self.calls.append(('notice', attempt, notice))
 
     def note_silent(self, now, attempt):
-        self.seen.append(('silence', attempt))
+        self.calls.append(('silence', attempt))
 
     def finish(self, now, attempt, observation):
         raise_if_failing(self.failing, 'finish')
-        self.seen.append(('finish', attempt, observation))
+        self.calls.append(('finish', attempt, observation))
         request, position = self.requests[attempt]
         if isinstance(observation, CallerGone):
             return Done(request)
@@ -112,7 +112,7 @@
         return self.send(request, 1) if self.hedging else None
 
     def leave(self, now, request):
-        self.seen.append(('leave', request))
+        self.calls.append(('leave', request))
 
     def poll(self, now):
         verdicts = tuple(self.ready)
@@ -126,7 +126,7 @@
         return self
 
     def observations(self):
-        return [entry[2] for entry in self.seen if entry[0] == 'finish']
+        return [entry[2] for entry in self.calls if entry[0] == 'finish']
 
     def only_observation(self):
         assert len(self.observations()) == 1
--- a/hillfield/proxy/tests/test_capacity.py
+++ b/hillfield/proxy/tests/test_capacity.py
@@ -18,12 +18,12 @@
 
 
 def list_steps(proxy):
-    return [entry[0] for entry in proxy.dispatching.seen]
+    return [entry[0] for entry in proxy.dispatching.calls]
 
 
 def list_capacities(proxy):
     return [
-        entry[1] for entry in proxy.dispatching.seen if entry[0] == 'capacity'
+        entry[1] for entry in proxy.dispatching.calls if entry[0] == 'capacity'
     ]
 
 
--- a/hillfield/proxy/tests/test_faults.py
+++ b/hillfield/proxy/tests/test_faults.py
@@ -123,7 +123,7 @@
     assert b'Retry-After: 2\r\n' in head
     observation = proxy.dispatching.only_observation()
     assert isinstance(observation, ConnectFailed)
-    assert all(entry[0] != 'written' for entry in proxy.dispatching.seen)
+    assert all(entry[0] != 'written' for entry in proxy.dispatching.calls)
 
 
 async def test_shed_answer_goes_to_another_target(proxy):
@@ -322,7 +322,7 @@
     while not proxy.dispatching.plans:
         await asyncio.sleep(0)
     writer.close()
-    while proxy.dispatching.seen[-1][0] != 'leave':
+    while proxy.dispatching.calls[-1][0] != 'leave':
         await asyncio.sleep(0)
     assert proxy.server.count_requests() == 0
 
--- a/hillfield/proxy/tests/test_handover.py
+++ b/hillfield/proxy/tests/test_handover.py
@@ -2,7 +2,8 @@
 
 Hosts were cut off while their connections stayed open. Requests written to them
 might have run, as far as the sender knew, so callers waited for their deadlines
-and got an unknown outcome, though no target had been reached."""
+and got an unknown outcome, though no target had been reached.
+"""
 
 import asyncio
 from enum import Enum, auto
@@ -115,7 +116,7 @@
     assert gate.runs == [b'body']
     assert b'Content-Length: 4\r\n' in gate.heads[0]
     assert b'Expect: 100-continue\r\n' in gate.heads[0]
-    names = [entry[0] for entry in proxy.dispatching.seen]
+    names = [entry[0] for entry in proxy.dispatching.calls]
     assert names == ['admit', 'written', 'head', 'finish']
 
 
@@ -223,7 +224,7 @@
     gates = [Gate(*choose(random, BEHAVIOURS)) for _ in range(3)]
     await open_path(proxy, gates, after=after)
     for raw in choose(random, (POST, EMPTY)):
-        await ask_and_check(proxy, gates, raw)  # noqa: WPS476 in turn
+        await ask_and_check(proxy, gates, raw)  # noqa: WPS476 one by one
 
 
 def choose(random, kinds):
--- a/hillfield/proxy/tests/test_intake.py
+++ b/hillfield/proxy/tests/test_intake.py
@@ -23,7 +23,7 @@
     while admitted < BURST_SIZE:
         before = admitted
         await asyncio.sleep(0)
-        admitted = sum(entry[0] == 'admit' for entry in proxy.dispatching.seen)
+        admitted = sum(entry[0] == 'admit' for entry in proxy.dispatching.calls)
         most = max(most, admitted - before)
     assert most <= ADMITTED_PER_PASS
     readers = [reader for reader, _ in opened]
@@ -59,7 +59,7 @@
     proxy.server._context.intake.enter = delay_admission
     began = monotonic()
     await proxy.ask(GET)
-    _, arrival = proxy.dispatching.seen[0]
+    _, arrival = proxy.dispatching.calls[0]
     assert arrival.expires - began < 5 + DELAY / 2
 
 
--- a/hillfield/proxy/tests/test_pipeline_ends.py
+++ b/hillfield/proxy/tests/test_pipeline_ends.py
@@ -62,12 +62,12 @@
 
 async def test_waiting_request_of_disconnected_caller_does_not_run(proxy):
     gate = await start(proxy)
-    asked = (
+    requests = (
         idempotent_request(b'/a'),
         once_request(b'/u'),
         idempotent_request(b'/c'),
     )
-    _, writer = await open_with(proxy, *asked)
+    _, writer = await open_with(proxy, *requests)
     await gate.wait_for(lambda: gate.begun)
     writer.close()
     # The sweep detects it, or else the opening of the next slot.
@@ -84,8 +84,8 @@
         b'Host',
         b'Connection: close\r\nHost',
     )
-    asked = idempotent_request(b'/a'), last, once_request(b'/u')
-    reader, writer = await open_with(proxy, *asked)
+    requests = idempotent_request(b'/a'), last, once_request(b'/u')
+    reader, writer = await open_with(proxy, *requests)
     await gate.wait_for(lambda: gate.begun)
     gate.release(b'/a', b'/b', b'/u')
     assert (await proxy.read(reader))[1] == b'/a'
@@ -100,8 +100,8 @@
 async def test_malformed_head_is_refused_after_earlier_answers(proxy):
     gate = await start(proxy)
     bad = b'GET /bad HTTP/1.1\r\nHost : t\r\n\r\n'
-    asked = idempotent_request(b'/a'), bad, idempotent_request(b'/c')
-    reader, writer = await open_with(proxy, *asked)
+    requests = idempotent_request(b'/a'), bad, idempotent_request(b'/c')
+    reader, writer = await open_with(proxy, *requests)
     await gate.wait_for(lambda: gate.begun)
     gate.release(b'/a')
     assert (await proxy.read(reader))[1] == b'/a'
@@ -118,8 +118,8 @@
         b'Host',
         b'X-Long: %s\r\nHost' % (b'l' * 2000),
     )
-    asked = idempotent_request(b'/a'), long
-    reader, writer = await open_with(proxy, *asked)
+    requests = idempotent_request(b'/a'), long
+    reader, writer = await open_with(proxy, *requests)
     await gate.wait_for(lambda: gate.begun)
     gate.release(b'/a')
     assert (await proxy.read(reader))[1] == b'/a'
@@ -131,12 +131,12 @@
     gate = await start(proxy)
     gate.sizes = {b'/a': HUGE, b'/b': HUGE}
     gate.broken = {b'/b'}
-    asked = (
+    requests = (
         idempotent_request(b'/a'),
         idempotent_request(b'/b'),
         b'GET /bad HTTP/1.1\r\nHost : t\r\n\r\n',
     )
-    reader, writer = await open_with(proxy, *asked)
+    reader, writer = await open_with(proxy, *requests)
     await gate.wait_for(lambda: len(gate.begun) == 2)
     gate.release(b'/a', b'/b')
     assert (await proxy.read(reader))[1] == gate.body_of(b'/a')
@@ -147,8 +147,8 @@
 
 async def test_late_head_is_refused_after_earlier_answers(proxy):
     gate = await start(proxy, head_timeout=1)
-    asked = idempotent_request(b'/a'), b'GET /b'
-    reader, writer = await open_with(proxy, *asked)
+    requests = idempotent_request(b'/a'), b'GET /b'
+    reader, writer = await open_with(proxy, *requests)
     await gate.wait_for(lambda: gate.begun)
     now = asyncio.get_running_loop().time()
     proxy.server._connections.sweep(now)
@@ -202,12 +202,12 @@
     gate = await start(proxy, pipeline_depth=depth)
     gate.sizes = {b'/u1': HUGE}
     gate.broken = {b'/u1'}
-    asked = (
+    requests = (
         once_request(b'/u1'),
         once_request(b'/u2'),
         idempotent_request(b'/c'),
     )
-    reader, writer = await open_with(proxy, *asked)
+    reader, writer = await open_with(proxy, *requests)
     gate.release(b'/u1', b'/u2', b'/c')
     with pytest.raises((ConnectionError, asyncio.IncompleteReadError)):
         await proxy.read(reader)
--- a/hillfield/proxy/tests/test_pipelines.py
+++ b/hillfield/proxy/tests/test_pipelines.py
@@ -71,8 +71,8 @@
 async def test_request_with_body_waits_for_earlier_answers(proxy):
     gate = await start(proxy)
     body = b'PUT /s HTTP/1.1\r\nHost: t\r\nContent-Length: 1\r\n\r\nx'
-    asked = idempotent_request(b'/a'), body
-    reader, writer = await open_with(proxy, *asked)
+    requests = idempotent_request(b'/a'), body
+    reader, writer = await open_with(proxy, *requests)
     await gate.wait_for(lambda: gate.begun)
     gate.release(b'/a')
     assert await read_bodies(proxy, reader, 1) == [b'/a']
@@ -120,8 +120,12 @@
         b'Host',
         b'X-Deadline-Ms: 50\r\nHost',
     )
-    asked = idempotent_request(b'/a'), short_deadline, idempotent_request(b'/c')
-    reader, writer = await open_with(proxy, *asked)
+    requests = (
+        idempotent_request(b'/a'),
+        short_deadline,
+        idempotent_request(b'/c'),
+    )
+    reader, writer = await open_with(proxy, *requests)
     gate.release(b'/b', b'/c')
     while len(proxy.dispatching.observations()) < 2:
         await asyncio.sleep(0)
--- a/hillfield/proxy/tests/test_server.py
+++ b/hillfield/proxy/tests/test_server.py
@@ -20,7 +20,7 @@
     assert head.startswith(b'HTTP/1.1 200 OK\r\n')
     assert body == b'ok'
     assert target.requests[0][0].startswith(b'GET /fees?x=1 HTTP/1.1')
-    names = [entry[0] for entry in proxy.dispatching.seen]
+    names = [entry[0] for entry in proxy.dispatching.calls]
     assert names == ['admit', 'written', 'head', 'finish']
     assert proxy.dispatching.observations() == [Answered(200)]
     assert proxy.server.count_requests() == 0
--- a/hillfield/proxy/tests/test_streaming.py
+++ b/hillfield/proxy/tests/test_streaming.py
@@ -91,7 +91,7 @@
     _, body = await proxy.ask(LARGE_POST + LARGE_BODY)
     assert body == LARGE_BODY
     assert target.requests[0][1] == LARGE_BODY
-    _, arrival = proxy.dispatching.seen[0]
+    _, arrival = proxy.dispatching.calls[0]
     assert not arrival.replayable
 
 
@@ -114,7 +114,7 @@
     _, body = await proxy.ask(raw)
     assert body == b'a'
     assert b'Content-Length: 1\r\n' in target.requests[0][0]
-    _, arrival = proxy.dispatching.seen[0]
+    _, arrival = proxy.dispatching.calls[0]
     assert arrival.replayable
 
 
@@ -136,7 +136,7 @@
     raw = b''.join((head, chunk(BLOCK), chunk(BLOCK)))
     answer = await proxy.ask(raw, end=False)
     assert answer.startswith(b'HTTP/1.1 411')
-    assert not proxy.dispatching.seen
+    assert not proxy.dispatching.calls
 
 
 async def test_early_answer_reaches_the_caller(proxy):
@@ -174,11 +174,11 @@
 
 async def test_each_caller_gets_its_own_answer(proxy):
     target = await proxy.start(echo_delayed)
-    asked = [
+    asking = [
         proxy.ask(b'GET /%d HTTP/1.1\r\nHost: t\r\n\r\n' % number)
         for number in range(20)
     ]
-    answers = await asyncio.gather(*asked)
+    answers = await asyncio.gather(*asking)
     bodies = [body for _, body in answers]
     assert bodies == [b'/%d' % number for number in range(20)]
     assert target.connections == 20
--- a/hillfield/proxy/unread.py
+++ b/hillfield/proxy/unread.py
@@ -41,7 +41,8 @@
     """Counts of unknown headers by name; each name is logged once.
 
     A header by which a target reports something about itself would otherwise
-    go unnoticed among the others that are forwarded."""
+    go unnoticed among the others that are forwarded.
+    """
 
     def __init__(
         self,
