--- a/hillfield/proxy/answers.py
+++ b/hillfield/proxy/answers.py
@@ -1,4 +1,4 @@
-"""Failure answers as callers get them."""
+"""Failure answers to callers."""
 
 import math
 from http import HTTPStatus
@@ -48,8 +48,8 @@
 ) -> Fields:
     """Return the headers of a failure answer.
 
-    The field's standard has whole seconds; `fractional` callers understand
-    more, and then come back no later than they need to.
+    The standard of Retry-After has whole seconds; `fractional` callers accept
+    fractions, so they retry no later than necessary.
     """
     fields = Fields(
         (
@@ -79,7 +79,7 @@
     return ResponseStartLine('HTTP/1.1', status, reason_of(status))
 
 
-def render_whole(failure: RequestFailure, request: str = '') -> bytes:
+def render_message(failure: RequestFailure, request: str = '') -> bytes:
     """Return the bytes of a failure answer that ends its connection."""
     body = render_body(failure, request)
     fields = list_fields(failure, request, len(body))
--- a/hillfield/proxy/callers.py
+++ b/hillfield/proxy/callers.py
@@ -1,4 +1,4 @@
-"""Connection of a caller: its requests in their order."""
+"""Connection of a caller, with its requests in order."""
 
 import socket
 from asyncio import sleep
@@ -11,26 +11,26 @@
 from tornado.iostream import StreamClosedError, UnsatisfiableReadError
 
 from hillfield.model import RequestFailure
-from hillfield.proxy.answers import render_whole
+from hillfield.proxy.answers import render_message
 from hillfield.proxy.context import ProxyContext
-from hillfield.proxy.failures import Fault, describe_stray
+from hillfield.proxy.failures import Fault, describe_unexpected
 from hillfield.proxy.ordering import AnswerOrder
 from hillfield.proxy.replies import Reply
 from hillfield.proxy.requests import IncomingRequest
+from hillfield.proxy.slots import RefusalSlot, ResponseSlot
 from hillfield.proxy.streams import CallerStream
 from hillfield.proxy.timeouts import CallerTimeouts
-from hillfield.proxy.turns import LastTurn, Turn
 
 _LARGEST_BODY: Final = 1_000_000_000_000
 
 
 class CallerConnection:
-    """Serve the requests of one connection in their order."""
+    """Server of the requests of one connection, in their order."""
 
-    def __init__(self, link: socket.socket, context: ProxyContext) -> None:
-        """Take over an accepted socket."""
+    def __init__(self, sock: socket.socket, context: ProxyContext) -> None:
+        """Start with an accepted socket."""
         self.stream = CallerStream(
-            link,
+            sock,
             context.settings,
             self,
             context.intake,
@@ -55,13 +55,13 @@
         except (StreamClosedError, UnsatisfiableReadError):
             await self.stream.drain()
         except Exception as error:
-            self._context.record_failure(describe_stray(error))
+            self._context.record_failure(describe_unexpected(error))
         finally:
             self.stream.abandon()
-            self._order.leave()
+            self._order.cancel_all()
 
     async def refuse_connection(self) -> None:
-        """Answer without reading: the node has its limit of connections."""
+        """Refuse the connection unread: the limit of connections is reached."""
         limit = self._context.settings.connection_limit
         self.stream.refuse(
             Fault.CONNECTIONS.failure(
@@ -73,40 +73,42 @@
 
     def refuse(self, failure: RequestFailure) -> bytes:
         """Return the answer to a malformed message."""
-        told: RequestFailure | None = failure
+        answer: RequestFailure | None = failure
         if self._incoming is not None:
-            told = self._incoming.refuse(failure)
+            answer = self._incoming.refuse(failure)
         self._context.record_failure(failure)
-        return b'' if told is None else render_whole(told)
+        return b'' if answer is None else render_message(answer)
 
     def defer(self, answer: bytes) -> bool:
-        """Hold the last answer back while others come before it."""
-        told = self._incoming is not None and self._incoming.reply.turn.come
-        if told or not self._order.is_busy():
+        """Queue a refusal behind earlier answers; return whether it was."""
+        answering = (
+            self._incoming is not None and self._incoming.reply.slot.is_open
+        )
+        if answering or not self._order.is_busy():
             return False
-        last = LastTurn(self.stream, answer)
-        self._order.join(last, last.leave)
+        last = RefusalSlot(self.stream, answer)
+        self._order.join(last, last.cancel)
         return True
 
     def close_after_answer(self) -> None:
-        """Let the last request that was read be the last one."""
+        """Close the connection after the answer to the last request read."""
         if self._order.close_after_last():
             self.stream.ending = True
         elif self._incoming is not None:
-            self._incoming.reply.turn.closing = True
+            self._incoming.reply.slot.closing = True
 
     def is_idle(self) -> bool:
-        """Tell whether nothing is asked, and no byte of a request has come."""
+        """Return whether no request is in progress or partly received."""
         return self._timeouts.is_idle()
 
     def sweep(self, now: float) -> None:
-        """End the connection if it is late; `now` is loop seconds."""
+        """End the connection if it timed out; `now` is loop seconds."""
         self._timeouts.sweep(now)
 
     async def _serve(self) -> None:
         serving = True
         while serving:
-            await self._wait_for_room()
+            await self._wait_until_accepting()
             connection = HTTP1Connection(
                 self.stream,
                 is_client=False,
@@ -116,17 +118,17 @@
                 connection,
                 self.stream,
                 self._context.settings.callers,
-                Turn(self.stream, self._order),
+                ResponseSlot(self.stream, self._order),
             )
             self._incoming = IncomingRequest(self._context, reply)
             self._timeouts.expect_head()
             serving = await connection.read_response(self._incoming)
         await self.stream.drain()
 
-    async def _wait_for_room(self) -> None:
-        """Let pipelined requests pile up neither work nor answers."""
+    async def _wait_until_accepting(self) -> None:
+        """Wait until pipelined requests and answers are within their limits."""
         stream = self.stream
-        while not (self._order.has_room() or stream.closed()):
+        while not (self._order.accepts_more() or stream.closed()):
             stream.set_close_callback(self._order.wake)
             await self._order.wait()
             stream.set_close_callback(None)
--- a/hillfield/proxy/checks.py
+++ b/hillfield/proxy/checks.py
@@ -1,18 +1,18 @@
-"""Checks that tell a wrong answer from a good one."""
+"""Checks for wrong answers."""
 
 from hillfield.model import AnswerChecks
 
 
-def find_wrong_head(
+def check_head(
     checks: AnswerChecks,
     status: int,
     has_header: bool,
 ) -> str:
-    """Return why the answer's head is wrong, or nothing.
+    """Return why the answer's head is wrong, or an empty string.
 
-    >>> find_wrong_head(AnswerChecks(), 500, has_header=True)
+    >>> check_head(AnswerChecks(), 500, has_header=True)
     'status 500'
-    >>> find_wrong_head(AnswerChecks(), 200, has_header=True)
+    >>> check_head(AnswerChecks(), 200, has_header=True)
     ''
     """
     if status in checks.wrong_statuses:
@@ -22,23 +22,23 @@
     return ''
 
 
-def find_wrong_body(
+def check_body(
     checks: AnswerChecks,
     part: bytes,
     size: int | None,
 ) -> str:
-    """Return why the answer is wrong by its first part, or nothing.
+    """Return why the answer's first part is wrong, or an empty string.
 
-    `size` is that of the whole body; None when it isn't known yet.
+    `size` is that of the complete body; None if it isn't known yet.
 
     >>> checks = AnswerChecks(minimum_length=3, required_prefix=b'ab')
-    >>> find_wrong_body(checks, b'ab', 2)
+    >>> check_body(checks, b'ab', 2)
     'body of 2 bytes'
-    >>> find_wrong_body(checks, b'xyz', None)
-    'body starts otherwise'
+    >>> check_body(checks, b'xyz', None)
+    'body without the required prefix'
     """
     if size is not None and size < checks.minimum_length:
         return f'body of {size} bytes'
     if not part.startswith(checks.required_prefix):
-        return 'body starts otherwise'
+        return 'body without the required prefix'
     return ''
--- a/hillfield/proxy/connections.py
+++ b/hillfield/proxy/connections.py
@@ -1,4 +1,4 @@
-"""All callers' connections of one node."""
+"""Connections of all callers of one node."""
 
 import socket
 from asyncio import (
@@ -14,29 +14,29 @@
 from hillfield.proxy.callers import CallerConnection
 from hillfield.proxy.context import ProxyContext
 
-_REFUSALS_AT_ONCE: Final = 64
-# Seconds in which the answers to requests that could not be finished go out:
-# a reset would leave their callers without any.
-_LAST_WORDS: Final = 0.1
+_MAX_REFUSALS: Final = 64
+# Seconds to send the answers to requests that could not be finished: after an
+# immediate reset their callers would get no answer.
+_FINAL_ANSWER_SECONDS: Final = 0.1
 
 
 class CallerConnections:
-    """Accept connections up to a limit, and see them to their ends."""
+    """Accept connections up to a limit, and serve them to their ends."""
 
     def __init__(self, context: ProxyContext) -> None:
-        """Start with none."""
+        """Start without connections."""
         self.tasks: dict[CallerConnection, Task[None]] = {}
         self._context = context
         self._empty = Event()
 
-    def accept(self, link: socket.socket) -> None:
+    def accept(self, sock: socket.socket) -> None:
         """Serve a connection, or refuse it when there are too many."""
         count = len(self.tasks)
         limit = self._context.settings.connection_limit
-        if count >= limit + _REFUSALS_AT_ONCE:
-            link.close()
+        if count >= limit + _MAX_REFUSALS:
+            sock.close()
             return
-        connection = CallerConnection(link, self._context)
+        connection = CallerConnection(sock, self._context)
         if count >= limit:
             task = create_task(connection.refuse_connection())
         else:
@@ -45,14 +45,14 @@
         task.add_done_callback(lambda _: self._forget(connection))
 
     def sweep(self, now: float) -> None:
-        """End connections that are late; `now` is in loop seconds."""
+        """End connections that timed out; `now` is in loop seconds."""
         for connection in tuple(self.tasks):
             connection.sweep(now)
 
     async def drain(self) -> None:
-        """Wait until each connection has ended after its present request.
+        """Wait until each connection has ended after its current request.
 
-        Idle ones get a grace period, in which a request that is on its way
+        Idle ones get a grace period, in which a request that was already sent
         is still served.
         """
         settings = self._context.settings
@@ -67,7 +67,7 @@
                 await self._wait_until_empty()
         except TimeoutError:
             self._context.expire_all()
-            await sleep(_LAST_WORDS)
+            await sleep(_FINAL_ANSWER_SECONDS)
             self.abandon()
         idle_timer.cancel()
 
--- a/hillfield/proxy/context.py
+++ b/hillfield/proxy/context.py
@@ -1,4 +1,4 @@
-"""What the requests of one node share."""
+"""State shared by the requests of one node."""
 
 from functools import partial
 from typing import Protocol
@@ -9,29 +9,29 @@
 from hillfield.proxy.guards import run_guarded
 from hillfield.proxy.intake import Intake
 from hillfield.proxy.meters import RequestMeter
+from hillfield.proxy.polltimers import PollTimers
 from hillfield.proxy.pool import Pool
 from hillfield.proxy.ports import CrashGuard, PlanSource
 from hillfield.proxy.settings import ProxySettings
-from hillfield.proxy.wakes import Wakes
 from hillfield.routing.ports import Dispatchers, Dispatching
 from hillfield.routing.requests import CallerGone, Send, Verdict
 
 
-class VerdictTaking(Protocol):
-    """Own a request that may be queued."""
+class RequestOwner(Protocol):
+    """Owner of a request that may be queued."""
 
-    def take(self, verdict: Verdict) -> None:
-        """Do what has been decided."""
+    def apply(self, decision: Verdict) -> None:
+        """Carry out a decision of the dispatcher."""
 
     def expire(self) -> None:
-        """End the request now; its caller is told what has become of it."""
+        """End the request at its deadline and answer its caller."""
 
-    def note_stray(self, error: Exception) -> None:
-        """End the request after an error that nobody expected."""
+    def handle_error(self, error: Exception) -> None:
+        """End the request after an unexpected error."""
 
 
 class ProxyContext:
-    """Hold the requests in flight and what they are decided with."""
+    """Requests in flight, and the components that they use."""
 
     def __init__(
         self,
@@ -42,7 +42,7 @@
         meter: RequestMeter,
         guard: CrashGuard,
     ) -> None:
-        """Start with no request."""
+        """Start without requests."""
         self.settings = settings
         self.plans = plans
         self.dispatchers = dispatchers
@@ -52,39 +52,39 @@
         self.pool = Pool(settings)
         self.intake = Intake()
         self.draining = False
-        self.takers: dict[str, VerdictTaking] = {}
-        self.wakes = Wakes(self.poll)
+        self.in_flight: dict[str, RequestOwner] = {}
+        self.poll_timers = PollTimers(self.poll)
 
     def poll(self, dispatching: Dispatching) -> None:
-        """Move queued requests on after an attempt has ended."""
-        for verdict in dispatching.poll(monotonic()):
-            self.deliver(verdict)
-        self.wakes.follow(dispatching)
+        """Carry out decisions on queued requests after an attempt has ended."""
+        for decision in dispatching.poll(monotonic()):
+            self.deliver(decision)
+        self.poll_timers.schedule(dispatching)
 
-    def deliver(self, verdict: Verdict) -> None:
-        """Hand a verdict to the request that it is for."""
-        taker = self.takers.get(verdict.request)
-        if taker is not None:
-            run_guarded(partial(taker.take, verdict), taker.note_stray)
-        elif isinstance(verdict, Send):
-            dispatching = self.dispatchers.for_service(verdict.target.service)
-            dispatching.finish(monotonic(), verdict.attempt, CallerGone())
+    def deliver(self, decision: Verdict) -> None:
+        """Pass a decision to the request that it is for."""
+        owner = self.in_flight.get(decision.request)
+        if owner is not None:
+            run_guarded(partial(owner.apply, decision), owner.handle_error)
+        elif isinstance(decision, Send):
+            dispatching = self.dispatchers.for_service(decision.target.service)
+            dispatching.finish(monotonic(), decision.attempt, CallerGone())
 
     def expire_all(self) -> None:
-        """End all requests now, each with an answer of its own."""
-        for taker in tuple(self.takers.values()):
-            run_guarded(taker.expire, taker.note_stray)
+        """End all requests now, each with a failure answer of its own."""
+        for owner in tuple(self.in_flight.values()):
+            run_guarded(owner.expire, owner.handle_error)
 
     def record_failure(
         self,
         failure: RequestFailure,
         request: str = '',
         service: str = '',
-        course: str = '',
+        summary: str = '',
     ) -> None:
-        """Record a failure answer; deciders have recorded their own.
+        """Log a failure answer; deciding components have logged their own.
 
-        `course` says what became of the request before.
+        `summary` describes the request's attempts.
         """
         try:
             code = EventCode(failure.event)
@@ -97,6 +97,6 @@
                 request=request,
                 peer=failure.peer,
                 step=failure.step.value,
-                detail='; '.join(filter(None, (failure.detail, course))),
+                detail='; '.join(filter(None, (failure.detail, summary))),
             ),
         )
--- a/hillfield/proxy/handover.py
+++ b/hillfield/proxy/handover.py
@@ -1,11 +1,12 @@
-"""Handing a request over: at once, or in two steps where the way is doubtful.
-
-A connection to another node stays open when its host is cut off, stands still
-or loses power. Of what is written to it nobody knows whether it runs: work that
-runs once can't be sent elsewhere then, and other work only as a repeat, of which
-few may be sent. On a doubtful connection a request is therefore written without
-its end, and whole only once the other node has asked for the rest. Until then
-it certainly has not run, and sending it elsewhere is no repeat.
+"""Writing a request to a connection, at once or in two steps.
+
+A connection to another node stays open when its host is cut off, stalls or
+loses power. Whether a request written to it runs is unknown: work that must run
+once can't be sent elsewhere then, and other work only as a retry, of which few
+are allowed. On a connection that has not answered recently, a request is
+therefore written without its end, and the rest only once the other node has
+asked for it. Until then it certainly has not run, and sending it elsewhere is
+no retry.
 """
 
 from asyncio import get_running_loop
@@ -15,13 +16,13 @@
 from tornado.iostream import StreamClosedError
 
 from hillfield.clocks import monotonic
-from hillfield.proxy.orders import Order
+from hillfield.proxy.keepalives import ErrorHandler, schedule_keepalive_check
+from hillfield.proxy.plannedrequests import PlannedRequest
+from hillfield.proxy.resources import AttemptResources
 from hillfield.proxy.sending import Sender
 from hillfield.proxy.settings import ProxySettings
-from hillfield.proxy.signs import StrayNoting, expect_sign
-from hillfield.proxy.streams import PromptStream
-from hillfield.proxy.targetlinks import AnswerReading, open_connection
-from hillfield.proxy.tools import AttemptTools
+from hillfield.proxy.streams import NoDelayStream
+from hillfield.proxy.targetconnections import AnswerReceiver, open_connection
 from hillfield.routing.readings import read_observation
 from hillfield.routing.requests import (
     Broken,
@@ -33,100 +34,109 @@
 from hillfield.timers import Appointment
 
 
-class Handover(AnswerReading):
-    """Write one request to a connection.
+class Handover(AnswerReceiver):
+    """Writer of one request to one connection.
 
-    `written_at` is when it began to be certain no longer that it has not run
-    (None: it certainly has not).
+    `written_at` is when the request may first have run (None: it certainly
+    has not).
     """
 
-    owner: StrayNoting
+    owner: ErrorHandler
 
-    def __init__(self, send: Send, order: Order, tools: AttemptTools) -> None:
-        """Prepare; nothing is written yet."""
+    def __init__(
+        self,
+        send: Send,
+        planned: PlannedRequest,
+        resources: AttemptResources,
+    ) -> None:
+        """Initialize; nothing is written yet."""
         self.send = send
         self.written_at: float | None = None
         self.ended = False
-        self._order = order
-        self._tools = tools
-        self._stream: PromptStream | None = None
+        self._planned = planned
+        self._resources = resources
+        self._stream: NoDelayStream | None = None
         self._sender: Sender | None = None
-        self._looking: Appointment | None = None
+        self._keepalive_check: Appointment | None = None
 
-    def hand_over(self, stream: PromptStream) -> None:
-        """Write the request, or as much as is safe on a doubtful connection."""
+    def write_to(self, stream: NoDelayStream) -> None:
+        """Write the request, or only its head on an unproven connection."""
         if stream.closed():
-            self.end(NothingWritten('connection ended before use'))
+            self.end(NothingWritten('connection closed before use'))
             return
-        settings = self._tools.settings
+        settings = self._resources.settings
         self._stream = stream
         self._sender = Sender(
-            self._order,
+            self._planned,
             open_connection(stream, settings),
             settings.targets,
             self.send,
         )
-        if is_doubtful(stream, self._order, settings):
-            self._write(self._sender.announce)
+        if is_unproven(stream, self._planned, settings):
+            self._write(self._sender.write_head_only)
         else:
             self._note_written()
             self._write(self._sender.start)
-        self._looking = expect_sign(self, self._tools, self._order)
+        self._keepalive_check = schedule_keepalive_check(
+            self,
+            self._resources,
+            self._planned,
+        )
 
-    def go_on(self) -> None:
-        """Write the rest of a request: the other end has asked for it."""
-        held = self.written_at is None and not self.ended
-        if self._stream is None or self._sender is None or not held:
+    def send_rest(self) -> None:
+        """Write the rest of a request after the other end asked for it."""
+        waiting = self.written_at is None and not self.ended
+        if self._stream is None or self._sender is None or not waiting:
             return
         if self._stream.closed():
-            self.end(NothingWritten('connection ended before use'))
+            self.end(NothingWritten('connection closed before use'))
             return
         self._note_written()
-        self._write(self._sender.go_on)
+        self._write(self._sender.write_rest)
 
     def end(self, observation: Observation) -> None:
-        """Note the end, once; the owner is told."""
+        """Report the first end of the attempt to the owner."""
 
-    def cut(self) -> None:
-        """End the attempt now; the target sees the connection close."""
+    def abort(self) -> None:
+        """End the attempt by closing its connection to the target."""
         self.ended = True
-        self.expect_nothing()
+        self.cancel_keepalive_check()
         if self._stream is not None:
             self._stream.close()
 
-    def expect_nothing(self) -> None:
-        """Look for no sign of life any more."""
-        if self._looking is not None:
-            self._looking.cancel()
+    def cancel_keepalive_check(self) -> None:
+        """Cancel the check for a keepalive."""
+        if self._keepalive_check is not None:
+            self._keepalive_check.cancel()
 
-    def correct(self, observation: Observation) -> Observation:
-        """Return what an end means: before all was written nothing has run."""
-        doubtful = isinstance(observation, (Broken, TimedOut))
-        if self.written_at is None and doubtful:
+    def correct_observation(self, observation: Observation) -> Observation:
+        """Map an end before the full request was written to NothingWritten."""
+        uncertain = isinstance(observation, (Broken, TimedOut))
+        if self.written_at is None and uncertain:
             return NothingWritten(read_observation(observation).detail)
         return observation
 
     def _note_written(self) -> None:
         self.written_at = monotonic()
-        dispatching = self._tools.dispatching
+        dispatching = self._resources.dispatching
         dispatching.note_written(self.written_at, self.send.attempt)
 
     def _write(self, action: Callable[[], None]) -> None:
         with suppress(StreamClosedError):
-            # Who reads the answer learns of it as well.
+            # The reader of the answer reports the closed connection.
             action()
 
 
-def is_doubtful(
-    stream: PromptStream,
-    order: Order,
+def is_unproven(
+    stream: NoDelayStream,
+    planned: PlannedRequest,
     settings: ProxySettings,
 ) -> bool:
-    """Tell whether a request should be handed over in two steps."""
+    """Return whether a request should be written in two steps."""
     after = settings.hand_over_after
     if after is None:
         return False
-    if order.start_line.method == 'HEAD':
-        # Its answer has no body, whatever tornado's rules for the rest are.
+    if planned.start_line.method == 'HEAD':
+        # Written by tornado itself, so that it expects no body in the answer.
         return False
     return get_running_loop().time() - stream.proven_at >= after
--- a/hillfield/proxy/incoming.py
+++ b/hillfield/proxy/incoming.py
@@ -1,11 +1,11 @@
-"""Answer of a target as it comes in."""
+"""Answer of a target while it is received."""
 
 from typing import Final
 
 from tornado.httputil import HTTPHeaders, ResponseStartLine
 
 from hillfield.model import AnswerChecks, TargetNotice
-from hillfield.proxy.checks import find_wrong_body, find_wrong_head
+from hillfield.proxy.checks import check_body, check_head
 from hillfield.proxy.dialects import TargetDialect
 from hillfield.routing.requests import Answered, Broken, Observation
 
@@ -14,12 +14,12 @@
 
 
 class IncomingAnswer:
-    """Hold the head and as much of the body as isn't relayed yet.
+    """Head and buffered body of an answer that is being received.
 
-    `failure` is what an answer means that no target's work has made, `stray`
-    says that it belongs to an earlier request of the connection, `alive` that
-    anything at all has come in answer, `notice` is what it says of the target
-    that gave it.
+    `failure` is the observation of a failure answer that does not come from
+    the target's own work; `stale`: the answer belongs to an earlier request of
+    the connection; `received`: anything has been received in answer; `notice`
+    is the target's notice about itself.
     """
 
     def __init__(
@@ -34,9 +34,9 @@
         self.headers = HTTPHeaders()
         self.held = bytearray()
         self.interim = False
-        self.alive = False
-        self.relaying = False
-        self.stray = False
+        self.received_any = False
+        self.is_forwarded = False
+        self.stale = False
         self.failure: Observation | None = None
         self.notice: TargetNotice | None = None
         self._checks = checks
@@ -44,20 +44,20 @@
         self._dialect = dialect
         self._request = request
 
-    def take_head(
+    def receive_head(
         self,
         start_line: ResponseStartLine,
         headers: HTTPHeaders,
     ) -> bool:
-        """Take in a head; return whether it is the final one."""
+        """Receive a head; return whether it is the final one."""
         if start_line.code < _FIRST_FINAL:
-            self.alive = True
+            self.received_any = True
             self.interim = not self._dialect.sends_signs
             return False
-        self.stray = not self._dialect.is_answer_to(self._request, headers)
-        if self.stray:
+        self.stale = not self._dialect.is_answer_to(self._request, headers)
+        if self.stale:
             return False
-        self.alive = True
+        self.received_any = True
         self.start_line = start_line
         self.headers = headers
         self._dialect.note_headers(headers)
@@ -67,61 +67,61 @@
         return True
 
     def allows_reuse(self) -> bool:
-        """Tell whether its connection may carry another request.
+        """Return whether the connection may carry another request.
 
-        An interim answer leaves a doubt: a second one might come late.
+        After an unexpected interim answer a second answer might come late.
         """
         if self.interim or self.start_line.version != 'HTTP/1.1':
             return False
         return _CLOSE not in self.headers.get('Connection', '').lower()
 
     def has_length(self) -> bool:
-        """Tell whether the length of the body is known from the head."""
+        """Return whether the length of the body is known from the head."""
         return 'Content-Length' in self.headers
 
-    def is_decidable(self) -> bool:
-        """Tell whether enough has come for the plan's checks."""
+    def can_be_checked(self) -> bool:
+        """Return whether enough has arrived for the plan's checks."""
         checks = self._checks
         needed = max(checks.minimum_length, len(checks.required_prefix))
         return len(self.held) >= needed
 
-    def find_wrong(self, whole: bool) -> str:
-        """Return why the answer is wrong by the plan's checks, or nothing."""
+    def check_answer(self, complete: bool) -> str:
+        """Return why the answer fails the plan's checks, or an empty string."""
         has_header = self._checks.required_header in self.headers
-        wrong = find_wrong_head(
+        wrong = check_head(
             self._checks,
             self.start_line.code,
             has_header,
         )
-        if wrong or self.relaying or self._method == 'HEAD':
+        if wrong or self.is_forwarded or self._method == 'HEAD':
             return wrong
-        size = len(self.held) if whole else self._find_size()
-        return find_wrong_body(self._checks, bytes(self.held), size)
+        size = len(self.held) if complete else self._find_size()
+        return check_body(self._checks, bytes(self.held), size)
 
-    def judge_part(self) -> Observation | None:
-        """Say why an answer that isn't whole yet must not be relayed."""
+    def observe_partial(self) -> Observation | None:
+        """Return why an incomplete answer must not be forwarded, or None."""
         if self.failure is not None:
             return self.failure
-        wrong = self.find_wrong(whole=False)
+        wrong = self.check_answer(complete=False)
         if wrong:
             return Answered(self.start_line.code, wrong)
         return None
 
-    def judge_whole(self) -> Observation:
-        """Say what a whole answer means."""
-        if self.failure is not None and not self.relaying:
+    def observe_complete(self) -> Observation:
+        """Return the observation of a complete answer."""
+        if self.failure is not None and not self.is_forwarded:
             return self.failure
         return Answered(
             self.start_line.code,
-            self.find_wrong(whole=True),
-            self.relaying,
+            self.check_answer(complete=True),
+            self.is_forwarded,
         )
 
-    def judge_broken(self, detail: str) -> Observation:
-        """Say what an answer that ended early means."""
-        if self.failure is not None and not self.relaying:
+    def observe_broken(self, detail: str) -> Observation:
+        """Return the observation of an answer that ended early."""
+        if self.failure is not None and not self.is_forwarded:
             return self.failure
-        return Broken(detail, self.relaying)
+        return Broken(detail, self.is_forwarded)
 
     def _find_size(self) -> int | None:
         announced = self.headers.get('Content-Length')
--- a/hillfield/proxy/intake.py
+++ b/hillfield/proxy/intake.py
@@ -1,4 +1,4 @@
-"""How much that is new a node takes in one pass of its loop."""
+"""Limits on the new connections and requests per pass of the event loop."""
 
 from asyncio import Future, get_running_loop
 from collections import deque
@@ -11,74 +11,82 @@
 
 from hillfield.model import Address
 
-# Connections, and requests, taken in one pass: what runs takes some seven passes
-# at each node from its send to its answer, and each new request makes one about a
-# millisecond long.
-TAKEN_AT_ONCE: Final = 2
-# Connections that wait in the system's queue for their turn.
-MOST_WAITING: Final = 1024
+# Connections, and requests, admitted in one pass: a running request takes about
+# seven passes at each node from send to answer, and each new request prolongs
+# a pass by about a millisecond.
+ADMITTED_PER_PASS: Final = 2
+# Backlog of the listening socket: connections that wait to be accepted.
+LISTEN_BACKLOG: Final = 1024
 
-Taker = Callable[[socket], None]
+ConnectionCallback = Callable[[socket], None]
 
 
 class Intake:
-    """Let in requests whose heads have come, in order, a few at a time.
+    """Admit requests whose heads have arrived, in order, a few at a time.
 
-    The load: hundreds come at once. Taken in one pass, none of the answers to
-    what runs is read before all of them are parsed and refused, and what runs
-    is late with them.
+    Hundreds of requests can arrive at once. If all were admitted in one pass,
+    no answer to a running request would be read before all of them were
+    parsed and refused, and the running requests would be late.
     """
 
     def __init__(self) -> None:
-        """Let in the first ones at once."""
-        self._left = TAKEN_AT_ONCE
+        """Start with the full number of admissions for this pass."""
+        self._remaining = ADMITTED_PER_PASS
         self._waiting: deque[Future[None]] = deque()
 
     async def enter(self) -> None:
-        """Return when it is the request's turn."""
-        if self._left:
-            self._take()
+        """Wait until the request is admitted."""
+        if self._remaining:
+            self._admit()
             return
-        turn = get_running_loop().create_future()
-        self._waiting.append(turn)
-        await turn
+        admission = get_running_loop().create_future()
+        self._waiting.append(admission)
+        await admission
 
-    def _take(self) -> None:
-        self._left -= 1
-        if not self._left:
-            get_running_loop().call_soon(self._renew)
+    def _admit(self) -> None:
+        self._remaining -= 1
+        if not self._remaining:
+            get_running_loop().call_soon(self._start_pass)
 
-    def _renew(self) -> None:
-        """Let in the next ones: a pass has gone by."""
-        self._left = TAKEN_AT_ONCE
-        while self._waiting and self._left:
-            turn = self._waiting.popleft()
-            if not turn.done():
-                turn.set_result(None)
-                self._take()
+    def _start_pass(self) -> None:
+        """Admit the next waiting requests in a new pass."""
+        self._remaining = ADMITTED_PER_PASS
+        while self._waiting and self._remaining:
+            admission = self._waiting.popleft()
+            if not admission.done():
+                admission.set_result(None)
+                self._admit()
 
 
 class Acceptor:
-    """Listen at an address and hand over connections, a few at a time."""
-
-    def __init__(self, address: Address, take: Taker) -> None:
-        """Listen; raises `OSError` when the address can't be had."""
-        listeners = bind_sockets(address.port, address.ip, backlog=MOST_WAITING)
+    """Listen at an address and pass on connections, a few at a time."""
+
+    def __init__(
+        self,
+        address: Address,
+        on_connection: ConnectionCallback,
+    ) -> None:
+        """Listen; raises `OSError` when the address is not available."""
+        listeners = bind_sockets(
+            address.port,
+            address.ip,
+            backlog=LISTEN_BACKLOG,
+        )
         self._listener = listeners[0]
-        self._take = take
+        self._on_connection = on_connection
         self.address = Address(address.ip, self._listener.getsockname()[1])
         get_running_loop().add_reader(
             self._listener.fileno(),
             self._accept,
-            TAKEN_AT_ONCE,
+            ADMITTED_PER_PASS,
         )
 
     def close(self) -> None:
-        """Take what waits, which a close would reset, and listen no more."""
+        """Accept waiting connections, which a close would reset, then close."""
         if self._listener.fileno() < 0:
             return
         get_running_loop().remove_reader(self._listener.fileno())
-        self._accept(MOST_WAITING)
+        self._accept(LISTEN_BACKLOG)
         self._listener.close()
 
     def _accept(self, most: int) -> None:
@@ -87,7 +95,7 @@
                 self._accept_one()
 
     def _accept_one(self) -> None:
-        """Take the next; raises `BlockingIOError` when none waits."""
+        """Accept a connection; raises `BlockingIOError` if none waits."""
         with suppress(ConnectionAbortedError):
-            link, _ = self._listener.accept()
-            self._take(link)
+            sock, _ = self._listener.accept()
+            self._on_connection(sock)
--- a/hillfield/proxy/measurement/__init__.py
+++ b/hillfield/proxy/measurement/__init__.py
@@ -1,21 +1,21 @@
-"""Measurements of the request path, each part in its own process."""
+"""Measurements of the request path, with each component in its own process."""
 
 from hillfield.proxy.measurement.latency import (
     AddedLatency,
-    LatencyFindings,
+    LatencyMeasurement,
     LatencyPlan,
     measure_latency,
 )
 from hillfield.proxy.measurement.streaming import (
-    StreamingFindings,
+    StreamingMeasurement,
     measure_streaming,
 )
 
 __all__ = (
     'AddedLatency',
-    'LatencyFindings',
+    'LatencyMeasurement',
     'LatencyPlan',
-    'StreamingFindings',
+    'StreamingMeasurement',
     'measure_latency',
     'measure_streaming',
 )
--- a/hillfield/proxy/measurement/echo.py
+++ b/hillfield/proxy/measurement/echo.py
@@ -1,9 +1,9 @@
-"""Target that sends a request's chunked body back as it comes."""
+"""Target that echoes a request's chunked body while it arrives."""
 
 from asyncio import StreamReader, StreamWriter, start_server
 from typing import Final
 
-from hillfield.proxy.measurement.processes import serve_until_told
+from hillfield.proxy.measurement.processes import serve_until_eof
 
 _HEAD_END: Final = b'\r\n\r\n'
 _LAST_CHUNK: Final = b'0\r\n\r\n'
@@ -12,9 +12,9 @@
 
 
 async def serve() -> None:
-    """Serve on a free port until told to stop."""
+    """Serve on a free port until standard input ends."""
     server = await start_server(_echo, '127.0.0.1', 0)
-    await serve_until_told(server.sockets[0].getsockname()[1])
+    await serve_until_eof(server.sockets[0].getsockname()[1])
     server.close()
 
 
--- a/hillfield/proxy/measurement/node.py
+++ b/hillfield/proxy/measurement/node.py
@@ -1,4 +1,4 @@
-"""The request path with the real decisions, alone in a process."""
+"""Request path with the real routing decisions, in a process of its own."""
 
 from random import Random
 from time import monotonic
@@ -17,7 +17,7 @@
     Target,
     TargetId,
 )
-from hillfield.proxy.measurement.processes import serve_until_told
+from hillfield.proxy.measurement.processes import serve_until_eof
 from hillfield.proxy.memory import freeze_startup_memory
 from hillfield.proxy.ports import RequestHead
 from hillfield.proxy.server import ProxyServer
@@ -38,8 +38,8 @@
 )
 
 
-class OnePlan:
-    """Give one plan to all requests."""
+class FixedPlan:
+    """Plan source with one plan for all requests."""
 
     def resolve(
         self,
@@ -50,7 +50,7 @@
 
 
 async def serve(target_port: int) -> None:
-    """Serve on a free port until told to stop."""
+    """Serve on a free port until standard input ends."""
     table = DispatcherTable(_HERE, HealthBoard, Random(1))
     table.adopt_policy(monotonic(), ServicePolicy(_SERVICE, slow_start=0))
     address = Address('127.0.0.1', target_port)
@@ -58,7 +58,7 @@
     table.adopt_targets(monotonic(), _SERVICE, (target,))
     server = ProxyServer(
         ProxySettings(Address('127.0.0.1', 0)),
-        OnePlan(),
+        FixedPlan(),
         table,
         ListJournal(),
     )
@@ -66,7 +66,7 @@
     ticker = PeriodicCallback(lambda: _tick(table, server), _TICK_MILLISECONDS)
     ticker.start()
     freeze_startup_memory()
-    await serve_until_told(server.address.port)
+    await serve_until_eof(server.address.port)
     ticker.stop()
     await server.drain()
 
--- a/hillfield/proxy/planning.py
+++ b/hillfield/proxy/planning.py
@@ -1,4 +1,4 @@
-"""What is planned for a request once its head has come."""
+"""Planning of a request once its head has arrived."""
 
 from expression import Error, Ok, Result
 from msgspec import Struct
@@ -11,34 +11,38 @@
 from hillfield.proxy.context import ProxyContext
 from hillfield.proxy.failures import Fault
 from hillfield.proxy.heads import (
-    Passage,
+    ForwardingContext,
     read_deadline,
     read_path,
     read_request_head,
     read_request_id,
 )
-from hillfield.proxy.identifiers import find_request_id
-from hillfield.proxy.orders import Order, find_reserve, has_body
+from hillfield.proxy.identifiers import assign_request_id
+from hillfield.proxy.plannedrequests import (
+    PlannedRequest,
+    compute_reserve,
+    has_body,
+)
 
 
-class Naming(Struct, frozen=True):
-    """Hold the id that others see, and the one that only this node uses."""
+class RequestIds(Struct, frozen=True):
+    """Ids of a request: the one that others see, and this node's own key."""
 
     request: str
     key: str
 
 
-def plan_order(
+def plan_request(
     context: ProxyContext,
     start_line: RequestStartLine,
     headers: HTTPHeaders,
     body: RequestBody,
-    naming: Naming,
-    came: float,
-) -> Result[Order, RequestFailure]:
+    ids: RequestIds,
+    received_at: float,
+) -> Result[PlannedRequest, RequestFailure]:
     """Return what each attempt sends, or the failure to answer with.
 
-    `came` is when the head had come: from then on its caller waits.
+    The deadline counts from `received_at`, when the head had arrived.
     """
     dialect = context.settings.callers
     head = read_request_head(start_line, headers, dialect.key_scheme)
@@ -49,62 +53,70 @@
     deadline = read_deadline(headers.get(dialect.deadline), plan.deadline)
     if deadline is None:
         return Error(
-            Fault.MALFORMED.failure(f'{dialect.deadline} is not milliseconds'),
+            Fault.MALFORMED.failure(
+                f'{dialect.deadline} is not a number of milliseconds',
+            ),
         )
     if deadline <= 0:
-        return Error(Fault.DEADLINE_NOT_RUN.failure('deadline of 0'))
+        return Error(Fault.DEADLINE_NOT_RUN.failure('the deadline is 0'))
     return Ok(
-        Order(
+        PlannedRequest(
             start_line._replace(path=read_path(start_line.path)),
             headers,
             body,
             plan,
-            Passage(
-                naming.request,
-                naming.key,
+            ForwardingContext(
+                ids.request,
+                ids.key,
                 context.settings.node,
                 dialect.removed,
                 dialect.key_scheme,
             ),
-            came + deadline,
+            received_at + deadline,
             Holder(context.settings.budget, plan.account),
         ),
     )
 
 
-def name_request(headers: HTTPHeaders, context: ProxyContext) -> Naming:
-    """Return the ids of a request; the node's own is not in flight."""
-    key = find_request_id(headers, context.takers)
+def assign_ids(headers: HTTPHeaders, context: ProxyContext) -> RequestIds:
+    """Return the ids of a request; its key is unique among those in flight."""
+    key = assign_request_id(headers, context.in_flight)
     if context.settings.callers.keeps_ids:
-        return Naming(read_request_id(headers) or key, key)
-    return Naming(key, key)
+        return RequestIds(read_request_id(headers) or key, key)
+    return RequestIds(key, key)
 
 
-def rename_order(order: Order, context: ProxyContext) -> Order:
-    """Return the order of a request that has waited, under a free id."""
-    naming = name_request(order.headers, context)
-    passage = replace(order.passage, request=naming.request, key=naming.key)
-    return replace(order, passage=passage)
+def renew_ids(planned: PlannedRequest, context: ProxyContext) -> PlannedRequest:
+    """Return a request that has waited with an id that is free now."""
+    ids = assign_ids(planned.headers, context)
+    forwarding = replace(planned.forwarding, request=ids.request, key=ids.key)
+    return replace(planned, forwarding=forwarding)
 
 
-def reserve_bytes(order: Order, part_size: int) -> RequestFailure | None:
-    """Take room for a request before its body is read, or refuse it."""
-    detail = order.holder.reserve(*find_reserve(order, part_size))
+def reserve_bytes(
+    planned: PlannedRequest,
+    part_size: int,
+) -> RequestFailure | None:
+    """Reserve memory for a request before its body is read, or refuse it."""
+    detail = planned.holder.reserve(*compute_reserve(planned, part_size))
     if not detail:
         return None
     return Fault.BYTES.failure(detail, retry_after=COME_BACK)
 
 
-def runs_beside(order: Order | None, headers: HTTPHeaders) -> bool:
-    """Tell whether a request may run beside those read before it.
+def may_run_concurrently(
+    planned: PlannedRequest | None,
+    headers: HTTPHeaders,
+) -> bool:
+    """Return whether a request may run before the answers ahead are sent.
 
-    What may run once could neither be stopped nor asked for again if the
-    connection ended behind an answer before its own. Without an aim nobody
-    waits for a time. A body would be read while other answers are written.
-    A request that is refused (no order) has nothing to run.
+    If the connection ended within an earlier answer, a request that must run
+    only once could neither be stopped nor repeated. A request without an aim
+    has no latency target to meet. A body would be read while other answers are
+    written. A refused request (None) runs nothing.
     """
     if 'Upgrade' in headers or 'Expect' in headers or has_body(headers):
         return False
-    if order is None:
+    if planned is None:
         return True
-    return order.plan.idempotent and order.plan.aim > 0
+    return planned.plan.idempotent and planned.plan.aim > 0
--- a/hillfield/proxy/replies.py
+++ b/hillfield/proxy/replies.py
@@ -1,4 +1,4 @@
-"""Answer on its way to a caller."""
+"""Answer to a caller."""
 
 from asyncio import Future
 from collections.abc import Callable
@@ -13,24 +13,24 @@
 from hillfield.proxy.answers import list_fields, render_body, render_start
 from hillfield.proxy.dialects import CallerDialect
 from hillfield.proxy.fields import Fields
-from hillfield.proxy.heads import Passage, pass_answer
+from hillfield.proxy.heads import ForwardingContext, forward_answer_fields
 from hillfield.proxy.incoming import IncomingAnswer
+from hillfield.proxy.slots import ResponseSlot
 from hillfield.proxy.streams import CallerStream
-from hillfield.proxy.turns import Turn
 from hillfield.proxy.writing import AnswerWriter
 
 _LENGTH: Final = 'Content-Length'
 _NO_CONTENT: Final = 204
 _BODILESS: Final = frozenset((_NO_CONTENT, 304))
-_SIGN: Final = b'HTTP/1.1 102 Processing\r\n\r\n'
+_KEEPALIVE: Final = b'HTTP/1.1 102 Processing\r\n\r\n'
 
 
 class Reply:
-    """Answer one request in its turn, whole or visibly not whole.
+    """Answer one request in order, completely or visibly incomplete.
 
-    `begun` tells that a part of the answer has been given, `chunks` that the
-    caller understands chunked bodies, `came` when the request's head had
-    come, in monotonic seconds.
+    `begun`: part of the answer has been passed on for writing;
+    `chunks`: the caller understands chunked bodies; `received_at`: when the
+    head of the request had arrived, in monotonic seconds.
     """
 
     def __init__(
@@ -38,15 +38,15 @@
         connection: HTTP1Connection,
         stream: CallerStream,
         dialect: CallerDialect,
-        turn: Turn,
+        slot: ResponseSlot,
     ) -> None:
-        """Prepare the answer to the request that comes next."""
+        """Prepare the answer to the next request."""
         self.connection = connection
-        self.turn = turn
-        self.writer = AnswerWriter(connection, stream, turn)
+        self.slot = slot
+        self.writer = AnswerWriter(connection, stream, slot)
         self.begun = False
         self.method = ''
-        self.came = stream.came
+        self.received_at = stream.received_at
         self.chunks = True
         self._stream = stream
         self._dialect = dialect
@@ -57,20 +57,20 @@
         headers: HTTPHeaders,
         draining: bool,
     ) -> None:
-        """Learn from a request's head how its answer is to be written."""
+        """Set how the answer is written according to the request's head."""
         self.method = start_line.method
-        self.came = self._stream.came
+        self.received_at = self._stream.received_at
         asked = headers.get('Connection', '').lower()
-        self.turn.closing = draining or 'close' in asked
+        self.slot.closing = draining or 'close' in asked
         if start_line.version == 'HTTP/1.0':
-            # Only the connection's end tells an old caller where an answer
-            # of unknown length ends.
-            self.turn.closing = True
+            # An HTTP/1.0 caller detects the end of an answer of unknown
+            # length only by the end of the connection.
+            self.slot.closing = True
             self.chunks = False
             headers.pop('Connection', None)
 
     def fail(self, failure: RequestFailure, request: str) -> None:
-        """Answer with a failure."""
+        """Send a failure."""
         body = render_body(failure, request)
         fields = list_fields(
             failure,
@@ -80,9 +80,13 @@
         )
         self._answer(render_start(failure.status), fields, body)
 
-    def send_whole(self, answer: IncomingAnswer, passage: Passage) -> None:
-        """Relay an answer that is held whole."""
-        fields = pass_answer(answer.headers, passage)
+    def send_complete(
+        self,
+        answer: IncomingAnswer,
+        forwarding: ForwardingContext,
+    ) -> None:
+        """Forward an answer that is complete in memory."""
+        fields = forward_answer_fields(answer.headers, forwarding)
         body = bytes(answer.held)
         if self.method == 'HEAD' or answer.start_line.code in _BODILESS:
             _keep_length(fields, answer)
@@ -93,10 +97,10 @@
     def begin(
         self,
         answer: IncomingAnswer,
-        passage: Passage,
+        forwarding: ForwardingContext,
     ) -> 'Future[None]':
-        """Relay the head and what is held; `write_part` follows."""
-        fields = pass_answer(answer.headers, passage)
+        """Forward the head and the buffered part; `write_part` follows."""
+        fields = forward_answer_fields(answer.headers, forwarding)
         _keep_length(fields, answer)
         part = bytes(answer.held)
         answer.held.clear()
@@ -104,49 +108,52 @@
         framed = bodiless or answer.has_length()
         self.writer.chunked = self.chunks and not framed
         self._begin(fields)
-        return self.turn.put(
+        return self.slot.enqueue(
             partial(self.writer.write_head, answer.start_line, fields, part),
             len(part),
         )
 
-    def send_sign(self) -> None:
-        """Write an interim answer, unless the answer has begun.
+    def send_keepalive(self) -> None:
+        """Write an interim answer as a keepalive, unless the answer has begun.
 
-        Before its turn it would be taken for another answer's.
+        While earlier answers are pending it would be read as part of theirs.
         """
-        if self.turn.come and not (self.begun or self._stream.closed()):
-            self._stream.write(_SIGN)
+        if self.slot.is_open and not (self.begun or self._stream.closed()):
+            self._stream.write(_KEEPALIVE)
 
-    def watch(self, callback: Callable[[], None]) -> None:
-        """Learn of the caller's end while its request is still read."""
+    def watch_close(self, callback: Callable[[], None]) -> None:
+        """Call back if the caller closes while its request is still read."""
         self._stream.set_close_callback(callback)
 
     def write_part(self, part: bytes) -> 'Future[None]':
-        """Relay a part; the future bounds what is buffered."""
-        return self.turn.put(partial(self.writer.write_part, part), len(part))
+        """Forward a part; the future applies backpressure."""
+        return self.slot.enqueue(
+            partial(self.writer.write_part, part),
+            len(part),
+        )
 
     def end(self) -> None:
-        """End a whole answer."""
-        self.turn.run(self.writer.end)
+        """End a complete answer."""
+        self.slot.write(self.writer.end)
 
     def abort(self) -> bool:
-        """Give up a begun answer so that it doesn't look whole.
+        """Stop an answer so that the caller can see that it is incomplete.
 
-        Tell whether another can be given: nothing of it was written yet.
+        Return whether another can be sent: nothing of it was written yet.
         """
-        if self.turn.come:
-            self.writer.cut()
+        if self.slot.is_open:
+            self.writer.abort_connection()
             return False
-        self.turn.drop()
+        self.slot.clear_buffer()
         self.writer.chunked = False
         self.begun = False
         return True
 
     def _begin(self, fields: Fields) -> None:
         self.begun = True
-        room = self._dialect.tell_room()
-        if room:
-            fields.add(ROOM, room)
+        capacity = self._dialect.tell_room()
+        if capacity:
+            fields.add(ROOM, capacity)
 
     def _answer(
         self,
@@ -156,8 +163,8 @@
     ) -> None:
         self._begin(fields)
         sent = b'' if self.method == 'HEAD' else body
-        self.turn.run(
-            partial(self.writer.write_whole, start_line, fields, sent),
+        self.slot.write(
+            partial(self.writer.write_complete, start_line, fields, sent),
             len(sent),
         )
 
--- a/hillfield/proxy/sending.py
+++ b/hillfield/proxy/sending.py
@@ -1,4 +1,4 @@
-"""A request's way onto a connection to a target."""
+"""Writing of one request to a connection to a target."""
 
 from asyncio import Task, create_task
 from typing import Final
@@ -9,68 +9,68 @@
 from hillfield.clocks import monotonic
 from hillfield.proxy.dialects import TargetDialect
 from hillfield.proxy.fields import Fields
-from hillfield.proxy.orders import Order, list_fields
+from hillfield.proxy.plannedrequests import PlannedRequest, list_fields
 from hillfield.routing.requests import Send
 
 _LAST_CHUNK: Final = b'0\r\n\r\n'
 
 
 class Sender:
-    """Write one request; `sent` tells that all of it has been handed over.
+    """Writer of one request; `sent`: all of it has been written.
 
-    It is written by `start`, or by `announce` and `go_on`: first the head, so
-    framed that the request is not whole without the rest, which the other end
-    asks for. Until then it can't have been passed on.
+    It is written by `start`, or by `write_head_only` and `write_rest`: first
+    the head, framed so that the request is incomplete without the rest, which
+    the other end asks for. Until then it can't have been forwarded.
     """
 
     def __init__(
         self,
-        order: Order,
+        planned: PlannedRequest,
         connection: HTTP1Connection,
         dialect: TargetDialect,
         send: Send,
     ) -> None:
-        """Prepare; nothing is written yet."""
+        """Initialize; nothing is written yet."""
         self.sent = False
         self.connection = connection
-        self._order = order
+        self._planned = planned
         self._dialect = dialect
         self._send = send
         self._writer: Task[None] | None = None
 
     def start(self) -> None:
-        """Write the head, and the body as far as it is there."""
-        order = self._order
+        """Write the head, and as much of the body as has arrived."""
+        planned = self._planned
         fields = self._list_fields()
-        if order.body.streamed:
+        if planned.body.streamed:
             self._write_head(fields)
             self._writer = create_task(self._write_body())
             return
-        if order.start_line.method == 'HEAD':
-            # tornado has to know that the answer has no body.
+        if planned.start_line.method == 'HEAD':
+            # Written by tornado, so that it expects no body in the answer.
             self._write_head(fields)
         else:
             head = self._render(fields)
-            self.connection.stream.write(head + order.body.join())
+            self.connection.stream.write(head + planned.body.join())
         self._finish()
 
-    def announce(self) -> None:
+    def write_head_only(self) -> None:
         """Write a head that asks whether the rest may follow."""
-        body = self._order.body
+        body = self._planned.body
         fields = self._list_fields()
         fields.add('Expect', '100-continue')
         if body.streamed:
             self._write_head(fields)
             return
         if not body.size:
-            # A request without a body would be whole with its head.
+            # A request without a body would be complete with its head.
             fields.drop('Content-Length')
             fields.add('Transfer-Encoding', 'chunked')
         self.connection.stream.write(self._render(fields))
 
-    def go_on(self) -> None:
-        """Write what follows the head: from now on the request may run."""
-        body = self._order.body
+    def write_rest(self) -> None:
+        """Write the rest; from now on the request may run."""
+        body = self._planned.body
         if body.streamed:
             self._writer = create_task(self._write_body())
             return
@@ -79,41 +79,41 @@
         self._finish()
 
     def stop(self) -> None:
-        """Write no more."""
+        """Stop writing."""
         if self._writer is not None:
             self._writer.cancel()
 
     def _list_fields(self) -> Fields:
-        order = self._order
+        planned = self._planned
         return list_fields(
-            order,
+            planned,
             self._dialect,
             self._send,
-            order.expires - monotonic(),
+            planned.expires - monotonic(),
         )
 
     def _render(self, fields: Fields) -> bytes:
-        line = self._order.start_line
+        line = self._planned.start_line
         return fields.render(f'{line.method} {line.path} HTTP/1.1')
 
     def _write_head(self, fields: Fields) -> None:
         self.connection.write_headers(
-            self._order.start_line,
+            self._planned.start_line,
             fields.to_headers(),
         )
 
     async def _write_body(self) -> None:
-        body = self._order.body
-        part = await body.take()
+        body = self._planned.body
+        part = await body.next_part()
         while part:
             try:
                 await self.connection.write(part)
             except StreamClosedError:
                 body.discard()
                 return
-            part = await body.take()
-        if body.whole:
-            self._order.holder.pass_body()
+            part = await body.next_part()
+        if body.complete:
+            self._planned.holder.pass_body()
             self._finish()
 
     def _finish(self) -> None:
--- a/hillfield/proxy/courses.py
+++ b/hillfield/proxy/summaries.py
@@ -1,4 +1,4 @@
-"""What became of a request at its caller's node, told with its failure."""
+"""Summary of a request's attempts, for the log entry of its failure."""
 
 from typing import Final
 
@@ -11,42 +11,46 @@
     Send,
 )
 
-# Seconds for which a route counts as new: what is learnt of its requests is
-# learnt at each node anew.
-NEW_FOR: Final = 30.0
+# Seconds for which a route counts as new: each node has to collect its own
+# statistics on the requests of a new route.
+NEW_ROUTE_SECONDS: Final = 30.0
 FIRST: Final = 'first'
 NEW: Final = 'new'
 OLDER: Final = 'older'
 _UNSENT: Final = (ConnectFailed, NothingWritten)
 
 
-class Course:
-    """Count the ends of a request's attempts; times are seconds.
+class AttemptSummary:
+    """Counts of how a request's attempts ended; times are seconds.
 
-    >>> course = Course(10.0)
-    >>> course.describe(RequestPlan('fees', 'r', '', True, 1), 10.25)
-    'route r; 0.250 s: declined 0 (0 held back), sent 0'
+    >>> summary = AttemptSummary(10.0)
+    >>> summary.describe(RequestPlan('fees', 'r', '', True, 1), 10.25)
+    'route r; 0.250 s: declined 0 (0 withheld), sent 0'
     """
 
     def __init__(self, began: float) -> None:
-        """Start with no attempt."""
+        """Start without attempts."""
         self._began = began
         self._declined = 0
-        self._held_back = 0
+        self._withheld = 0
         self._unsent = 0
         self._sent = 0
         self._first_sent: float | None = None
         self._urgency = Urgency.CHOOSY
 
-    def note_sent(self, send: Send) -> None:
-        """Note that an attempt begins."""
+    def record_sent(self, send: Send) -> None:
+        """Record the start of an attempt."""
         self._urgency = send.urgency
 
-    def note(self, written_at: float | None, observation: Observation) -> None:
-        """Note how an attempt ended, and when it was written, if it was."""
+    def record_end(
+        self,
+        written_at: float | None,
+        observation: Observation,
+    ) -> None:
+        """Record how an attempt ended, and when it was written, if it was."""
         if isinstance(observation, Declined):
             self._declined += 1
-            self._held_back += observation.lasting
+            self._withheld += observation.lasting
         elif isinstance(observation, _UNSENT):
             self._unsent += 1
         else:
@@ -55,7 +59,7 @@
                 self._first_sent = written_at
 
     def describe(self, plan: RequestPlan, now: float) -> str:
-        """Say which route it took, and how long what took."""
+        """Return a description of the route, the attempts and their times."""
         spent = now - self._began
         parts = [
             _describe_route(plan, now),
@@ -69,30 +73,30 @@
             parts.append(f'first after {after:.3f} s')
         if self._urgency:
             urgency = self._urgency.name.lower()
-            parts.append(f'{urgency} at last')
+            parts.append(f'last urgency {urgency}')
         opening, *rest = parts
         return '; '.join((opening, ', '.join(rest)))
 
     def _describe_declines(self, spent: float) -> str:
-        told = f'declined {self._declined} ({self._held_back} held back)'
-        return f'{spent:.3f} s: {told}'
+        declines = f'declined {self._declined} ({self._withheld} withheld)'
+        return f'{spent:.3f} s: {declines}'
 
 
-def name_age(plan: RequestPlan, now: float) -> str | None:
-    """Return how long the node has had the route of a request, in a word.
+def classify_route_age(plan: RequestPlan, now: float) -> str | None:
+    """Return the age class of a request's route at this node.
 
-    None: it is not known here.
+    None: the age is not known at this node.
 
     >>> plan = RequestPlan('fees', 'r', '', True, 1, route_version=2,
     ...     route_since=5.0)
-    >>> name_age(plan, 6.0), name_age(plan, 60.0)
+    >>> classify_route_age(plan, 6.0), classify_route_age(plan, 60.0)
     ('new', 'older')
     """
     if plan.route_version is None:
         return None
     if plan.route_since is None:
         return FIRST
-    return NEW if now - plan.route_since < NEW_FOR else OLDER
+    return NEW if now - plan.route_since < NEW_ROUTE_SECONDS else OLDER
 
 
 def _describe_route(plan: RequestPlan, now: float) -> str:
@@ -100,6 +104,6 @@
     if plan.route_version is None:
         return route
     if plan.route_since is None:
-        return f'{route} since the first table'
+        return f'{route} of the first routing table'
     age = now - plan.route_since
     return f'{route} of version {plan.route_version}, {age:.1f} s old'
--- a/hillfield/proxy/targetlinks.py
+++ b/hillfield/proxy/targetconnections.py
@@ -1,4 +1,4 @@
-"""Answers on a connection to a target."""
+"""Reading of answers on a connection to a target."""
 
 from typing import Final
 
@@ -10,20 +10,20 @@
 
 from hillfield.proxy.incoming import IncomingAnswer
 from hillfield.proxy.settings import ProxySettings
-from hillfield.proxy.streams import PromptStream
+from hillfield.proxy.streams import NoDelayStream
 
 _LARGEST_BODY: Final = 1_000_000_000_000
 
 
-class AnswerReading(HTTPMessageDelegate):
-    """Take in what comes on a connection to a target."""
+class AnswerReceiver(HTTPMessageDelegate):
+    """Receiver of the answers on a connection to a target."""
 
     answer: IncomingAnswer
     ended: bool
 
 
 def open_connection(
-    stream: PromptStream,
+    stream: NoDelayStream,
     settings: ProxySettings,
 ) -> HTTP1Connection:
     """Return a connection for one request to a target."""
@@ -39,17 +39,17 @@
 
 
 async def read_answer(
-    reading: AnswerReading,
+    receiver: AnswerReceiver,
     connection: HTTP1Connection,
-    stream: PromptStream,
+    stream: NoDelayStream,
 ) -> None:
-    """Read answers up to the one that belongs to the present request.
+    """Read answers up to the one that belongs to the current request.
 
-    A target may send a second answer to an earlier request late.
+    A target may send a late second answer to an earlier request.
     """
-    await connection.read_response(reading)
-    while reading.answer.stray and not (reading.ended or stream.closed()):
-        reading.answer.stray = False
+    await connection.read_response(receiver)
+    while receiver.answer.stale and not (receiver.ended or stream.closed()):
+        receiver.answer.stale = False
         following = open_connection(stream, stream.settings)
         following.finish()
-        await following.read_response(reading)
+        await following.read_response(receiver)
--- a/hillfield/proxy/writing.py
+++ b/hillfield/proxy/writing.py
@@ -1,4 +1,4 @@
-"""Bytes of one answer, written when it is its turn."""
+"""Writing of one answer once its slot is open."""
 
 from asyncio import Future
 from typing import Final
@@ -8,8 +8,8 @@
 
 from hillfield.holding import Holder
 from hillfield.proxy.fields import Fields, render_status
+from hillfield.proxy.slots import ResponseSlot
 from hillfield.proxy.streams import CallerStream
-from hillfield.proxy.turns import Turn
 
 _LAST_CHUNK: Final = b'0\r\n\r\n'
 
@@ -17,40 +17,40 @@
 class AnswerWriter:
     """Write one answer, and end its connection if it is the last.
 
-    `request_read` tells that the request has been read to its end, `chunked`
-    that the answer goes out in chunks, `early` that the request runs beside
-    others of its connection, so that tornado's part in it has ended, `holder`
-    counts what is held for it.
+    `request_read`: the request has been read to its end; `chunked`: the answer
+    is sent in chunks; `concurrent`: the request runs concurrently with others
+    of its connection, so tornado's handling of it has ended; `holder` counts
+    the bytes held in memory for it.
     """
 
     def __init__(
         self,
         connection: HTTP1Connection,
         stream: CallerStream,
-        turn: Turn,
+        slot: ResponseSlot,
     ) -> None:
-        """Prepare; nothing is written yet."""
+        """Initialize; nothing is written yet."""
         self.connection = connection
         self.request_read = False
         self.chunked = False
-        self.early = False
+        self.concurrent = False
         self.holder: Holder | None = None
         self._stream = stream
-        self._turn = turn
+        self._slot = slot
 
-    def note_read(self) -> None:
-        """Note the request's end; the next may be read now if it is early."""
+    def record_request_end(self) -> None:
+        """Record the request's end; if concurrent, the next may be read now."""
         self.request_read = True
-        if self.early:
+        if self.concurrent:
             self.connection.finish()
 
-    def write_whole(
+    def write_complete(
         self,
         start_line: ResponseStartLine,
         fields: Fields,
         body: bytes,
     ) -> None:
-        """Write an answer that is held whole."""
+        """Write an answer that is complete in memory."""
         self._add_close(fields)
         if self._stream.closed():
             return
@@ -63,51 +63,55 @@
         fields: Fields,
         part: bytes,
     ) -> 'Future[None]':
-        """Begin an answer of which more follows."""
+        """Write the head and first part of an answer."""
         self._add_close(fields)
         head = fields.to_headers()
-        return self._follow(
+        return self._release_after(
             self.connection.write_headers(start_line, head, part),
             len(part),
         )
 
     def write_part(self, part: bytes) -> 'Future[None]':
         """Write a part of an answer that has begun."""
-        return self._follow(self.connection.write(part), len(part))
+        return self._release_after(self.connection.write(part), len(part))
 
     def end(self) -> None:
-        """End a whole answer, and let the next one out."""
+        """End a complete answer, and open the slot of the next one."""
         if self._is_last():
             self._end_connection()
-        elif not self.early:
+        elif not self.concurrent:
             self.connection.finish()
         elif self.chunked and not self._stream.closed():
             self._stream.write(_LAST_CHUNK)
         self._release()
-        self._turn.end()
+        self._slot.end()
 
-    def cut(self) -> None:
+    def abort_connection(self) -> None:
         """End the connection within the answer.
 
-        A reset would also take back what the caller has not read yet of the
-        answers before; the end of a connection shows as well that an answer
-        with a length, or in chunks, is not whole.
+        A reset could also discard earlier answers that the caller has not read
+        yet. The end of a connection also shows that an answer with a length, or
+        in chunks, is incomplete.
         """
-        if not self.early:
+        if not self.concurrent:
             self._stream.reset()
         elif not self._stream.closed():
             self._stream.linger(self._stream.write(b''))
-        self._turn.end_all()
+        self._slot.cancel_following()
 
-    def _follow(self, written: 'Future[None]', size: int) -> 'Future[None]':
-        """Count what has gone out as held no more."""
+    def _release_after(
+        self,
+        written: 'Future[None]',
+        size: int,
+    ) -> 'Future[None]':
+        """Release the bytes of a part once it has been written."""
         if self.holder is not None:
             drop = self.holder.drop_answer
             written.add_done_callback(lambda _: drop(size))
         return written
 
     def _release(self) -> None:
-        """Count nothing as held once all has gone out, or never will."""
+        """Release all held bytes once they are written, or never will be."""
         if self.holder is None:
             return
         if self._stream.closed() or not self._stream.writing():
@@ -117,16 +121,16 @@
         self._stream.write(b'').add_done_callback(lambda _: release())
 
     def _end_connection(self) -> None:
-        """End it without a reset by an unread rest of the request.
+        """End the connection without a reset due to unread request bytes.
 
-        That could take the answer back before the caller has it.
+        A reset could discard the answer before the caller has read it.
         """
         if not self._stream.closed():
             last = _LAST_CHUNK if self.chunked else b''
             self._stream.linger(self._stream.write(last))
 
     def _is_last(self) -> bool:
-        return self._turn.closing or not self.request_read
+        return self._slot.closing or not self.request_read
 
     def _add_close(self, fields: Fields) -> None:
         if self._is_last():
