--- a/hillfield/proxy/tests/test_pipelines.py
+++ b/hillfield/proxy/tests/test_pipelines.py
@@ -71,8 +71,8 @@
 async def test_request_with_body_waits_for_earlier_answers(proxy):
     gate = await start(proxy)
     body = b'PUT /s HTTP/1.1\r\nHost: t\r\nContent-Length: 1\r\n\r\nx'
-    requests = idempotent_request(b'/a'), body
-    reader, writer = await open_with(proxy, *requests)
+    pipelined = idempotent_request(b'/a'), body
+    reader, writer = await open_with(proxy, *pipelined)
     await gate.wait_for(lambda: gate.begun)
     gate.release(b'/a')
     assert await read_bodies(proxy, reader, 1) == [b'/a']
