--- a/hillfield/announcements/__init__.py
+++ b/hillfield/announcements/__init__.py
@@ -1,6 +1,6 @@
 """Targets announce themselves to their host's node."""
 
-from hillfield.announcements.lives import Life
+from hillfield.announcements.incarnations import Life
 from hillfield.announcements.messages import (
     Announcement,
     AnnouncementProblem,
--- a/hillfield/announcements/graves.py
+++ b/hillfield/announcements/ended_incarnations.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-from hillfield.announcements.lives import Life, Place
+from hillfield.announcements.incarnations import Life, Endpoint
 from hillfield.announcements.messages import (
     Announcement,
     AnnouncementProblem,
@@ -11,10 +11,10 @@
 from hillfield.settings import AnnouncementSettings
 
 # At some restarts a day and host this lasts for months.
-LIVES_KEPT: Final = 1024
+RECORDS_KEPT: Final = 1024
 
 
-class Graves:
+class EndedIncarnations:
     """Remember the newest ended lives, and when each place's last ended.
 
     All ended lives of a place count, not just its newest: a former process
@@ -24,25 +24,25 @@
     def __init__(self, settings: AnnouncementSettings) -> None:
         """Start empty."""
         self._settings = settings
-        self._lives: dict[tuple[Place, int], None] = {}
-        self._ended: dict[Place, float] = {}
+        self._lives: dict[tuple[Endpoint, int], None] = {}
+        self._ended: dict[Endpoint, float] = {}
 
-    def bury(self, now: float, life: Life) -> None:
+    def mark_ended(self, now: float, life: Life) -> None:
         """Remember that this life has ended."""
         identity = life.reported.id
-        place = Place(identity.service, identity.address)
+        place = Endpoint(identity.service, identity.address)
         self._lives[(place, identity.incarnation)] = None
         self._ended.pop(place, None)
         self._ended[place] = now
-        while len(self._lives) > LIVES_KEPT:
+        while len(self._lives) > RECORDS_KEPT:
             self._lives.pop(next(iter(self._lives)))
-        while len(self._ended) > LIVES_KEPT:
+        while len(self._ended) > RECORDS_KEPT:
             self._ended.pop(next(iter(self._ended)))
 
     def find_problem(
         self,
         now: float,
-        place: Place,
+        place: Endpoint,
         announcement: Announcement,
     ) -> AnnouncementProblem | None:
         """Tell why this announcement is of a life that has ended.
--- a/hillfield/announcements/lives.py
+++ b/hillfield/announcements/incarnations.py
@@ -12,7 +12,7 @@
 CONNECTIONS_PER_SLOT: Final = 4
 
 
-class Place(Struct, frozen=True, order=True):
+class Endpoint(Struct, frozen=True, order=True):
     """Say which service a target serves, and where."""
 
     service: str
@@ -24,35 +24,35 @@
 
     `reported` is what the target says, `shown` what other nodes are told (never
     the load);
-    `heard`, `changed` and `draining` are monotonic seconds: the newest
+    `heard`, `last_change` and `drain_started` are monotonic seconds: the newest
     heartbeat, the newest change of `shown`, the start of the drain.
-    `given` says that the target chose its incarnation itself.
+    `chose_incarnation` says that the target chose its incarnation itself.
     """
 
     reported: Target
     shown: Target
     heard: float
-    changed: float
-    given: bool
-    draining: float | None = None
+    last_change: float
+    chose_incarnation: bool
+    drain_started: float | None = None
 
     def is_silent(self, now: float, settings: AnnouncementSettings) -> bool:
         """Tell whether heartbeats have been missing for the expiry."""
         return now - self.heard > settings.expiry
 
-    def is_over(self, now: float, settings: AnnouncementSettings) -> bool:
+    def is_expired(self, now: float, settings: AnnouncementSettings) -> bool:
         """Tell whether the life is to be forgotten."""
         if not self.is_silent(now, settings):
             return False
-        if self.draining is None:
+        if self.drain_started is None:
             return True
-        return now - self.draining > settings.drain_seconds
+        return now - self.drain_started > settings.drain_seconds
 
-    def excuse(self, now: float, seconds: float) -> 'Life':
+    def discount_pause(self, now: float, seconds: float) -> 'Life':
         """Return the life as if it had been heard so many seconds later."""
         return replace(self, heard=min(now, self.heard + seconds))
 
-    def continues(
+    def is_continued_by(
         self,
         now: float,
         announcement: Announcement,
@@ -95,7 +95,7 @@
     )
 
 
-def begin_life(now: float, reported: Target, *, given: bool) -> Life:
+def start_incarnation(now: float, reported: Target, *, given: bool) -> Life:
     """Start a life with its first announcement."""
     shown = replace(reported, load=None)
     is_draining = reported.state is TargetState.DRAINING
@@ -103,23 +103,23 @@
     return Life(reported, shown, now, now, given, started)
 
 
-def continue_life(
+def update_incarnation(
     now: float,
     life: Life,
     reported: Target,
     settings: AnnouncementSettings,
 ) -> Life:
     """Take the next announcement; a drain is never taken back."""
-    if life.draining is not None:
+    if life.drain_started is not None:
         reported = replace(reported, state=TargetState.DRAINING)
     heard = replace(life, reported=reported, heard=now)
     plain = replace(reported, load=None)
     if plain == life.shown or not _may_show(now, life, plain, settings):
         return heard
-    started = life.draining
+    started = life.drain_started
     if started is None and reported.state is TargetState.DRAINING:
         started = now
-    return replace(heard, shown=plain, changed=now, draining=started)
+    return replace(heard, shown=plain, last_change=now, drain_started=started)
 
 
 def _may_show(
@@ -130,7 +130,7 @@
 ) -> bool:
     if _is_urgent(life.shown.state, reported.state):
         return True
-    return now - life.changed >= settings.change_interval
+    return now - life.last_change >= settings.change_interval
 
 
 def _is_urgent(old: TargetState, new: TargetState) -> bool:
--- a/hillfield/announcements/messages.py
+++ b/hillfield/announcements/messages.py
@@ -15,7 +15,7 @@
 
 LARGEST_COUNT: Final = 100000
 # More than a target that is written wrong has; a body may hold thousands.
-MOST_PROBLEMS: Final = 16
+PROBLEMS_REPORTED: Final = 16
 LARGEST_WEIGHT: Final = 1000
 LARGEST_INCARNATION: Final = 9223372036854775807
 
@@ -113,7 +113,7 @@
     found = find_problems(Announcement, table)
     problems = tuple(
         _malformed(problem.field, problem.found, problem.fix)
-        for problem in islice(found, MOST_PROBLEMS)
+        for problem in islice(found, PROBLEMS_REPORTED)
     )
     if problems:
         return Error(problems)
--- a/hillfield/announcements/problems.py
+++ b/hillfield/announcements/problems.py
@@ -8,7 +8,7 @@
 from hillfield.settings import AnnouncementSettings
 
 
-def find_room_problem(
+def find_capacity_problem(
     count: int,
     settings: AnnouncementSettings,
 ) -> AnnouncementProblem | None:
--- a/hillfield/announcements/registry.py
+++ b/hillfield/announcements/registry.py
@@ -2,12 +2,12 @@
 
 from expression import Error, Ok, Result
 
-from hillfield.announcements.graves import Graves
-from hillfield.announcements.lives import (
+from hillfield.announcements.ended_incarnations import EndedIncarnations
+from hillfield.announcements.incarnations import (
     Life,
-    Place,
-    begin_life,
-    continue_life,
+    Endpoint,
+    start_incarnation,
+    update_incarnation,
     make_target,
 )
 from hillfield.announcements.messages import (
@@ -15,7 +15,7 @@
     AnnouncementProblem,
 )
 from hillfield.announcements.problems import (
-    find_room_problem,
+    find_capacity_problem,
     make_stale_problem,
     make_unknown_problem,
 )
@@ -32,8 +32,8 @@
         self.version = 0
         self._settings = settings
         self._journal = journal
-        self._lives: dict[Place, Life] = {}
-        self._graves = Graves(settings.announcements)
+        self._lives: dict[Endpoint, Life] = {}
+        self._graves = EndedIncarnations(settings.announcements)
         self._targets: tuple[Target, ...] = ()
 
     def announce(
@@ -48,15 +48,17 @@
         of a target that gives none.
         """
         settings = self._settings.announcements
-        place = Place(announcement.service, announcement.address)
+        place = Endpoint(announcement.service, announcement.address)
         life = self._lives.get(place)
-        if life is not None and not life.continues(now, announcement, settings):
+        if life is not None and not life.is_continued_by(
+            now, announcement, settings
+        ):
             life = None
         if life is not None:
             return self._continue(now, life, announcement)
         problem = self._graves.find_problem(now, place, announcement)
         if problem is None and place not in self._lives:
-            problem = find_room_problem(len(self._lives), settings)
+            problem = find_capacity_problem(len(self._lives), settings)
         if problem is not None:
             return Error(problem)
         return Ok(self._begin(now, wall, announcement))
@@ -72,7 +74,7 @@
 
         With `incarnation`, a later life at the same place stays listed.
         """
-        place = Place(service, address)
+        place = Endpoint(service, address)
         life = self._lives.get(place)
         if life is None:
             return Error(make_unknown_problem(service, address))
@@ -80,7 +82,7 @@
         if incarnation not in {None, known}:
             return Error(make_stale_problem(incarnation, known))
         self._lives.pop(place)
-        self._graves.bury(now, life)
+        self._graves.mark_ended(now, life)
         self._note(EventCode.TARGET_WITHDRAWN, life.shown)
         self._publish()
         return Ok(life.shown)
@@ -99,7 +101,7 @@
         This node read nothing in them: what targets said lay unread.
         """
         self._lives = {
-            place: life.excuse(now, seconds)
+            place: life.discount_pause(now, seconds)
             for place, life in self._lives.items()
         }
 
@@ -119,8 +121,10 @@
             return Error(make_stale_problem(announcement.incarnation, known))
         settings = self._settings
         reported = make_target(announcement, settings.locality, known)
-        newer = continue_life(now, life, reported, settings.announcements)
-        self._lives[Place(announcement.service, announcement.address)] = newer
+        newer = update_incarnation(now, life, reported, settings.announcements)
+        self._lives[Endpoint(announcement.service, announcement.address)] = (
+            newer
+        )
         if newer.shown is not life.shown:
             self._note(EventCode.TARGET_CHANGED, newer.shown)
             self._publish()
@@ -132,10 +136,10 @@
         wall: int,
         announcement: Announcement,
     ) -> Target:
-        place = Place(announcement.service, announcement.address)
+        place = Endpoint(announcement.service, announcement.address)
         former = self._lives.get(place)
         if former is not None:
-            self._graves.bury(now, former)
+            self._graves.mark_ended(now, former)
             wall = max(wall, former.reported.id.incarnation + 1)
         given = announcement.incarnation
         reported = make_target(
@@ -143,7 +147,7 @@
             self._settings.locality,
             wall if given is None else given,
         )
-        life = begin_life(now, reported, given=given is not None)
+        life = start_incarnation(now, reported, given=given is not None)
         self._lives[place] = life
         self._note(EventCode.TARGET_ANNOUNCED, life.shown)
         self._publish()
@@ -154,12 +158,12 @@
         over = [
             place
             for place, life in self._lives.items()
-            if life.is_over(now, settings)
+            if life.is_expired(now, settings)
         ]
         for place in over:
             life = self._lives.pop(place)
-            if life.draining is not None:
-                self._graves.bury(now, life)
+            if life.drain_started is not None:
+                self._graves.mark_ended(now, life)
             self._note(EventCode.TARGET_EXPIRED, life.shown)
         if over:
             self._publish()
--- a/hillfield/fleet/__init__.py
+++ b/hillfield/fleet/__init__.py
@@ -3,7 +3,7 @@
 from hillfield.fleet.findings import NodeEvidence
 from hillfield.fleet.readiness import waiting_for
 from hillfield.fleet.records import NodeRecord, NodeState
-from hillfield.fleet.replication.ledger import EntryStore
+from hillfield.fleet.replication.entry_index import EntryStore
 from hillfield.fleet.service import Fleet, FleetListeners
 from hillfield.fleet.settings import FleetSettings
 from hillfield.fleet.state import FleetState
--- a/hillfield/fleet/core.py
+++ b/hillfield/fleet/core.py
@@ -5,20 +5,20 @@
 from math import inf
 
 from hillfield.events import EventCode, Occurrence
-from hillfield.fleet.book import StatementBook
+from hillfield.fleet.state_table import StateTable
 from hillfield.fleet.findings import FindingsView
 from hillfield.fleet.outbox import Outbox
 from hillfield.fleet.peering.known_addresses import KnownAddresses
 from hillfield.fleet.peering.link_table import Link, LinkTable
 from hillfield.fleet.records import NodeRecord, RecordCodec
-from hillfield.fleet.replication.ledger import EntryLedger
+from hillfield.fleet.replication.entry_index import EntryIndex
 from hillfield.fleet.replication.summary import Summary
 from hillfield.fleet.settings import FleetSettings
 from hillfield.fleet.view import TargetView
 from hillfield.model import Address
 
 
-class Way(StrEnum):
+class EntrySource(StrEnum):
     """Name by which way an entry came to this node."""
 
     WRITE = 'its own write'
@@ -30,50 +30,50 @@
 class Subject(IntEnum):
     """Name what a hash or a list of versions is about."""
 
-    STATEMENTS = 0
+    STATE_UPDATES = 0
     ENTRIES = 1
 
 
 @dataclass(slots=True)
-class Own:
+class OwnState:
     """Hold what this node says of itself.
 
-    `pause` is how many seconds after its record was published it may be
+    `publish_delay` is how many seconds after its record was published it may be
     published anew; `confirmed` when its entries were last known to be all
-    that the store holds, `in_vain` that reading it has failed since.
+    that the store holds, `read_failed` that reading it has failed since.
     """
 
     record: NodeRecord
     incarnation: int
     versions: dict[str, int] = field(default_factory=dict)
     published: float = -inf
-    pause: float = 0
-    taken: float = -inf
+    publish_delay: float = 0
+    name_conflict: float = -inf
     loaded: bool = False
     ready: bool = False
     confirmed: float = -inf
-    in_vain: bool = False
+    read_failed: bool = False
 
 
 @dataclass(slots=True)
-class Clock:
+class Timestamps:
     """Hold when things were done last."""
 
     started: float = inf
     ticked: float = -inf
-    beat: float = -inf
-    chosen: float = -inf
-    refreshed: float = -inf
-    sought: float = -inf
-    waited: float = -inf
-    compared: float = -inf
-    told: float = -inf
-
-    def note_started(self, now: float) -> None:
+    heartbeat_sent: float = -inf
+    links_selected: float = -inf
+    members_refreshed: float = -inf
+    addresses_tried: float = -inf
+    wait_reported: float = -inf
+    hashes_sent: float = -inf
+    confirmation_sent: float = -inf
+
+    def record_start(self, now: float) -> None:
         """Take the first tick as the start."""
         if self.started == inf:
             self.started = now
-            self.waited = now
+            self.wait_reported = now
 
 
 @dataclass(slots=True)
@@ -82,22 +82,22 @@
 
     settings: FleetSettings
     codec: RecordCodec
-    book: StatementBook
-    ledger: EntryLedger
+    book: StateTable
+    ledger: EntryIndex
     view: TargetView
     findings: FindingsView
     links: LinkTable
     outbox: Outbox
     addresses: KnownAddresses
-    own: Own
-    clock: Clock = field(default_factory=Clock)
-    lost: dict[str, float] = field(default_factory=dict)
+    own: OwnState
+    times: Timestamps = field(default_factory=Timestamps)
+    lost_since: dict[str, float] = field(default_factory=dict)
     counts: dict[str, int] = field(default_factory=dict)
-    reported: dict[str, float] = field(default_factory=dict)
-    banned: dict[Address, float] = field(default_factory=dict)
+    refusals_reported: dict[str, float] = field(default_factory=dict)
+    banned_until: dict[Address, float] = field(default_factory=dict)
     circle: frozenset[str] = frozenset()
 
-    def summary_of(self, subject: int) -> Summary:
+    def get_summary(self, subject: int) -> Summary:
         """Return the summary of a subject."""
         if subject == Subject.ENTRIES:
             return self.ledger.summary
--- a/hillfield/fleet/assembling.py
+++ b/hillfield/fleet/core_builder.py
@@ -1,21 +1,21 @@
 """Put the parts of a node's fleet state together."""
 
-from hillfield.fleet.book import StatementBook
-from hillfield.fleet.core import Core, Own
+from hillfield.fleet.state_table import StateTable
+from hillfield.fleet.core import Core, OwnState
 from hillfield.fleet.findings import FindingsView
 from hillfield.fleet.outbox import Outbox
 from hillfield.fleet.peering.known_addresses import KnownAddresses
 from hillfield.fleet.peering.link_table import LinkTable
 from hillfield.fleet.records import NodeRecord, RecordCodec
-from hillfield.fleet.replication.ledger import EntryLedger, EntryStore
+from hillfield.fleet.replication.entry_index import EntryIndex, EntryStore
 from hillfield.fleet.settings import FleetSettings
 from hillfield.fleet.view import TargetView
 
 
-def core_of(settings: FleetSettings, store: EntryStore) -> Core:
+def build_core(settings: FleetSettings, store: EntryStore) -> Core:
     """Return the state of a node that knows only itself."""
     codec = RecordCodec()
-    book = StatementBook(codec)
+    book = StateTable(codec)
     record = NodeRecord(
         name=settings.name,
         locality=settings.locality,
@@ -27,11 +27,11 @@
         settings=settings,
         codec=codec,
         book=book,
-        ledger=EntryLedger(store, settings.pull_again),
+        ledger=EntryIndex(store, settings.pull_again),
         view=TargetView(book, codec),
         findings=FindingsView(book, codec, settings.evidence_life),
         links=LinkTable(),
         outbox=Outbox(settings),
         addresses=KnownAddresses(settings),
-        own=Own(record, settings.incarnation),
+        own=OwnState(record, settings.incarnation),
     )
--- a/hillfield/fleet/effects.py
+++ b/hillfield/fleet/effects.py
@@ -21,10 +21,10 @@
 class StoreRead(Struct, frozen=True):
     """Note when this node asked for all of the store that it now holds.
 
-    `asked` is in monotonic seconds; None: it asked in vain.
+    `requested` is in monotonic seconds; None: it asked in vain.
     """
 
-    asked: float | None
+    requested: float | None
 
 
 class SendTo(Struct, frozen=True):
@@ -40,7 +40,7 @@
     peer: Address
 
 
-class HangUp(Struct, frozen=True):
+class Disconnect(Struct, frozen=True):
     """Ask for a link to be closed."""
 
     peer: Address
@@ -53,4 +53,4 @@
 
 
 Event = Received | Refused | StoreRead | Ticked
-Effect = SendTo | Dial | HangUp | Report
+Effect = SendTo | Dial | Disconnect | Report
--- a/hillfield/fleet/envelope.py
+++ b/hillfield/fleet/envelope.py
@@ -32,9 +32,9 @@
 # Bytes from which a body is compressed. A configuration of 1,200 routes, 218 kB,
 # goes as 15 kB and takes 0.9 ms; uncompressed it takes 0.2 s of a link of 10
 # Mbit/s for each node that asks for it.
-LARGE: Final = 2048
+COMPRESSION_THRESHOLD: Final = 2048
 # How a compressed body begins; msgpack's array of four begins otherwise.
-COMPRESSED: Final = b'\x28\xb5\x2f\xfd'
+ZSTD_MAGIC: Final = b'\x28\xb5\x2f\xfd'
 
 
 class Refusal(StrEnum):
@@ -102,7 +102,7 @@
         body = self._encoder.encode(
             Body(self._settings.name, incarnation, message, stamp),
         )
-        if len(body) >= LARGE:
+        if len(body) >= COMPRESSION_THRESHOLD:
             body = ZstdCompressor().compress(body)
         return b''.join((self._head, self._mac(body), body))
 
@@ -142,7 +142,7 @@
 
     def _unpack(self, body: bytes) -> bytes:
         """Return the body as it was; nothing of one that would be too large."""
-        if not body.startswith(COMPRESSED):
+        if not body.startswith(ZSTD_MAGIC):
             return body
         size = get_frame_parameters(body).content_size
         if size > self._settings.message_limit:
--- a/hillfield/fleet/feeds.py
+++ b/hillfield/fleet/feeds.py
@@ -8,16 +8,16 @@
 
 from hillfield.clocks import monotonic
 from hillfield.events import EventCode, Journal, Occurrence
-from hillfield.fleet.core import Way
+from hillfield.fleet.core import EntrySource
 from hillfield.fleet.effects import StoreRead
-from hillfield.fleet.feeding import feed_snapshot, feed_value
+from hillfield.fleet.store_submission import submit_snapshot, submit_value
 from hillfield.fleet.service import Fleet
 from hillfield.store.following import Followed, Follower, FollowSettings
 from hillfield.store.paging import Snapshot, Span, read_span
 from hillfield.store.ports import Store, StoredValue, StoreError
 
-REPORT_AGAIN: Final = 10.0
-PAGE: Final = 256
+ERROR_REPORT_INTERVAL: Final = 10.0
+PAGE_ENTRIES: Final = 256
 
 
 class FeedSettings(Struct, frozen=True):
@@ -44,7 +44,7 @@
         self._settings = settings
         self._random = random
         self._journal = journal
-        self._reported = -REPORT_AGAIN
+        self._reported = -ERROR_REPORT_INTERVAL
         self._loaded: set[str] = set()
 
     async def run(self) -> None:
@@ -58,14 +58,14 @@
         asked = monotonic()
         loaded = await gather(*map(self._read, self._settings.prefixes))
         if all(loaded):
-            self._fleet.state.note_loaded()
-        self._fleet.take(StoreRead(asked if all(loaded) else None))
+            self._fleet.state.mark_loaded()
+        self._fleet.handle_event(StoreRead(asked if all(loaded) else None))
         return all(loaded)
 
-    def note_error(self, error: StoreError) -> None:
+    def report_error(self, error: StoreError) -> None:
         """Record a failed call, not each of a row."""
         now = monotonic()
-        if now - self._reported >= REPORT_AGAIN:
+        if now - self._reported >= ERROR_REPORT_INTERVAL:
             self._reported = now
             self._journal.record(
                 Occurrence(
@@ -80,17 +80,17 @@
         state = self._fleet.state
         match followed:
             case Snapshot():
-                feed_snapshot(state, prefix, followed, known)
+                submit_snapshot(state, prefix, followed, known)
                 self._loaded.add(prefix)
             case StoredValue():
-                feed_value(state, followed, Way.WATCH)
+                submit_value(state, followed, EntrySource.WATCH)
             case StoreError():
-                self.note_error(followed)
+                self.report_error(followed)
 
     async def _read(self, prefix: str) -> bool:
         state = self._fleet.state
         known = state.core.ledger.newest_under(prefix)
-        read = await read_span(self._store, Span(prefix), PAGE)
+        read = await read_span(self._store, Span(prefix), PAGE_ENTRIES)
         self._take(prefix, read.error if read.is_error() else read.ok, known)
         return read.is_ok()
 
@@ -108,4 +108,4 @@
             self._take(prefix, followed, known)
             known = ledger.newest_under(prefix)
             if len(self._loaded) == len(self._settings.prefixes):
-                state.note_loaded()
+                state.mark_loaded()
--- a/hillfield/fleet/findings.py
+++ b/hillfield/fleet/findings.py
@@ -3,7 +3,7 @@
 from msgspec import Struct
 
 from hillfield.detection.evidence import Evidence
-from hillfield.fleet.book import StatementBook
+from hillfield.fleet.state_table import StateTable
 from hillfield.fleet.records import Kind, RecordCodec
 
 
@@ -20,7 +20,7 @@
 
     def __init__(
         self,
-        book: StatementBook,
+        book: StateTable,
         codec: RecordCodec,
         life: float,
     ) -> None:
@@ -31,7 +31,7 @@
         self._came: dict[str, float] = {}
         self._changed: set[str] = set()
 
-    def note(self, now: float, name: str) -> None:
+    def record_update(self, now: float, name: str) -> None:
         """Note that a node said something new."""
         self._came[name] = now
         self._changed.add(name)
@@ -49,10 +49,10 @@
 
     def evidence(self) -> tuple[NodeEvidence, ...]:
         """Return all recent evidence that isn't empty."""
-        found = (self.of_node(name) for name in sorted(self._came))
+        found = (self.get_evidence(name) for name in sorted(self._came))
         return tuple(finding for finding in found if finding.evidence)
 
-    def of_node(self, name: str) -> NodeEvidence:
+    def get_evidence(self, name: str) -> NodeEvidence:
         """Return one node's recent evidence; empty when it has none."""
         record = self._book.records.get(name)
         statement = self._book.get(Kind.EVIDENCE, name)
@@ -62,7 +62,7 @@
         evidence = self._codec.decode_evidence(statement.payload)
         return NodeEvidence(name, domain, evidence)
 
-    def take_changed(self) -> frozenset[str]:
+    def pop_changed(self) -> frozenset[str]:
         """Return the nodes whose evidence changed since the last call."""
         changed = frozenset(self._changed)
         self._changed.clear()
--- a/hillfield/fleet/heartbeats.py
+++ b/hillfield/fleet/heartbeats.py
@@ -12,41 +12,41 @@
 from hillfield.fleet.core import Core
 from hillfield.fleet.messages import Heartbeat, Hello
 from hillfield.fleet.peering.link_table import Link
-from hillfield.fleet.replication.ledger import EntryLedger
+from hillfield.fleet.replication.entry_index import EntryIndex
 
 # Seconds by which a reading is later than the one told of last, to be told at
 # once: one reading comes by several neighbours, a few ms apart.
-NEWS: Final = 0.25
+IMMEDIATE_STEP: Final = 0.25
 MILLISECONDS: Final = 1000
 
 
-def heartbeat_of(core: Core, now: float) -> Heartbeat:
+def build_heartbeat(core: Core, now: float) -> Heartbeat:
     """Return the heartbeat that sums up what this node knows."""
     age = find_age(core, now)
     return Heartbeat(
         core.book.summary.total,
         core.ledger.summary.total,
         core.own.ready,
-        core.ledger.newest,
+        core.ledger.newest_revision,
         None if age == inf else round(age * MILLISECONDS),
-        core.own.in_vain,
+        core.own.read_failed,
     )
 
 
 def send_heartbeats(core: Core, now: float) -> None:
     """Send a heartbeat over each link, or a hello where none was heard."""
-    core.clock.beat = now
-    core.clock.told = core.own.confirmed
-    heartbeat = heartbeat_of(core, now)
+    core.times.heartbeat_sent = now
+    core.times.confirmation_sent = core.own.confirmed
+    heartbeat = build_heartbeat(core, now)
     for link in core.links:
         if link.up:
             core.outbox.send(link.address, heartbeat)
         else:
-            hello = hello_of(core, asks=link.dialled)
+            hello = build_hello(core, asks=link.dialled)
             core.outbox.send(link.address, hello)
 
 
-def hello_of(core: Core, asks: bool) -> Hello:
+def build_hello(core: Core, asks: bool) -> Hello:
     """Return the message that opens a link."""
     return Hello(core.settings.link, core.settings.locality, asks)
 
@@ -56,40 +56,40 @@
     return now - core.own.confirmed
 
 
-def confirm(core: Core, now: float, read_at: float) -> None:
+def confirm_entries(core: Core, now: float, read_at: float) -> None:
     """Note that this node holds all that the store held at a moment."""
     if read_at <= core.own.confirmed:
         return
     core.own.confirmed = read_at
-    core.own.in_vain = False
-    if read_at - core.clock.told >= NEWS:
+    core.own.read_failed = False
+    if read_at - core.times.confirmation_sent >= IMMEDIATE_STEP:
         send_heartbeats(core, now)
 
 
-def take_confirmation(
+def receive_confirmation(
     core: Core,
     now: float,
     link: Link,
     message: Heartbeat,
 ) -> None:
     """Take what a neighbour tells of the store, now or once it is held."""
-    link.in_vain = message.in_vain
-    if message.age is None or message.age < 0:
+    link.read_failed = message.read_failed
+    if message.read_age_ms is None or message.read_age_ms < 0:
         return
-    link.confirmed = now - message.age / MILLISECONDS
-    link.entries = message.entries
+    link.confirmed = now - message.read_age_ms / MILLISECONDS
+    link.entries_hash = message.entries_hash
     link.newest = message.newest
-    confirm_by(core, now, link)
+    confirm_from_link(core, now, link)
 
 
-def confirm_by(core: Core, now: float, link: Link) -> None:
+def confirm_from_link(core: Core, now: float, link: Link) -> None:
     """Confirm by what a neighbour told, if all that it held is held here."""
     if _holds_all(core.ledger, link):
-        confirm(core, now, link.confirmed)
+        confirm_entries(core, now, link.confirmed)
 
 
-def _holds_all(ledger: EntryLedger, link: Link) -> bool:
+def _holds_all(ledger: EntryIndex, link: Link) -> bool:
     """Tell whether all that a neighbour told of is held here, or newer."""
-    if link.entries == ledger.summary.total:
+    if link.entries_hash == ledger.summary.total:
         return True
-    return len(ledger.summary) == 1 and ledger.newest > link.newest
+    return len(ledger.summary) == 1 and ledger.newest_revision > link.newest
--- a/hillfield/fleet/loading.py
+++ b/hillfield/fleet/loading.py
@@ -15,11 +15,11 @@
 DOMAINS: Final = 8
 SERVICES: Final = 260
 FIRST_PORT: Final = 2000
-HEARD: Final = 3
+NEIGHBOUR_DIVISOR: Final = 3
 START: Final = 1000.0
 SECOND: Final = 1.0
 TARGET_SLOTS: Final = 8
-OWN: Final = 0
+OWN_NUMBER: Final = 0
 
 
 def name_of(number: int) -> str:
@@ -56,7 +56,7 @@
 ) -> Statement:
     """Return a node's record, which hears its neighbours on both sides."""
     settings = settings_of(number)
-    steps = (1, nodes // HEARD, nodes // 2)
+    steps = (1, nodes // NEIGHBOUR_DIVISOR, nodes // 2)
     heard = {(number + step) % nodes for step in steps}
     heard |= {(number - step) % nodes for step in steps}
     record = NodeRecord(
@@ -66,7 +66,7 @@
         control=settings.control,
         caller=settings.caller,
         state=NodeState.SERVING,
-        hears=tuple(sorted(name_of(one) for one in heard)),
+        receives_from=tuple(sorted(name_of(one) for one in heard)),
     )
     payload = codec.encode_record(record)
     return Statement(Kind.MEMBER, settings.name, 1, version, payload)
@@ -96,27 +96,27 @@
     return Statement(Kind.TARGETS, name_of(number), 1, 1, payload)
 
 
-def say_as_peer(message: Hello | Heartbeat | Statements) -> Received:
+def receive_from_peer(message: Hello | Heartbeat | Statements) -> Received:
     """Return a message as it comes from the one neighbour."""
     return Received(name_of(1), 1, message)
 
 
 def load_state(nodes: int, targets: int) -> FleetState:
     """Return a state with all nodes alive and `targets` on each host."""
-    settings = settings_of(OWN)
+    settings = settings_of(OWN_NUMBER)
     peer = settings_of(1)
     state = FleetState(settings, MemoryStore())
-    state.take(START, Ticked())
+    state.handle_event(START, Ticked())
     hello = Hello(peer.link, peer.locality, asks=True)
-    state.take(START, say_as_peer(hello))
-    state.take(START, say_as_peer(Heartbeat(0, 0, ready=True)))
+    state.handle_event(START, receive_from_peer(hello))
+    state.handle_event(START, receive_from_peer(Heartbeat(0, 0, ready=True)))
     codec = state.core.codec
     for number in range(1, nodes):
         pair = (
             member_statement(codec, number, nodes, 1),
             targets_statement(codec, number, targets),
         )
-        state.take(START, say_as_peer(Statements(pair)))
-    state.take(START + SECOND, Ticked())
-    state.take(START + SECOND + SECOND, Ticked())
+        state.handle_event(START, receive_from_peer(Statements(pair)))
+    state.handle_event(START + SECOND, Ticked())
+    state.handle_event(START + SECOND + SECOND, Ticked())
     return state
--- a/hillfield/fleet/measurement.py
+++ b/hillfield/fleet/measurement.py
@@ -17,7 +17,7 @@
 from hillfield.fleet.loading import (
     load_state,
     member_statement,
-    say_as_peer,
+    receive_from_peer,
     settings_of,
 )
 from hillfield.fleet.messages import (
@@ -36,7 +36,7 @@
 REPEATS: Final = 30
 MICRO: Final = 1e6
 ENTRY_SIZE: Final = 4096
-STEP: Final = 0.2
+STEP_SECONDS: Final = 0.2
 
 
 class Cost(Struct, frozen=True):
@@ -126,9 +126,9 @@
     for turn in range(1, REPEATS + 1):
         sealed = sender.seal(make(turn), 1)
         length = max(length, len(sealed))
-        now = state.core.clock.ticked + STEP
+        now = state.core.times.ticked + STEP_SECONDS
         began = time.perf_counter()
-        state.take(now, opener.open(sealed).ok)
+        state.handle_event(now, opener.open(sealed).ok)
         seconds.append(time.perf_counter() - began)
         _rest(state, now)
     return Cost(length, median(seconds) * MICRO)
@@ -137,18 +137,18 @@
 def _rest(state: FleetState, now: float) -> None:
     """Keep the neighbour heard and the tick on time, outside the timing."""
     beat = Heartbeat(state.core.book.summary.total, 0, ready=True)
-    state.take(now, say_as_peer(beat))
-    state.take(now, Ticked())
+    state.handle_event(now, receive_from_peer(beat))
+    state.handle_event(now, Ticked())
 
 
 def _measure_tick(state: FleetState) -> float:
     seconds = []
     for _ in range(REPEATS):
-        now = state.core.clock.ticked + STEP / 2
-        state.take(
+        now = state.core.times.ticked + STEP_SECONDS / 2
+        state.handle_event(
             now, Received(settings_of(1).name, 1, Heartbeat(0, 0, ready=True))
         )
         began = time.perf_counter()
-        state.take(now, Ticked())
+        state.handle_event(now, Ticked())
         seconds.append(time.perf_counter() - began)
     return sum(seconds) / len(seconds) * MICRO
--- a/hillfield/fleet/membership.py
+++ b/hillfield/fleet/membership.py
@@ -5,26 +5,29 @@
 from hillfield.events import EventCode
 from hillfield.fleet.core import Core
 from hillfield.fleet.records import Kind
-from hillfield.fleet.statements import publish
+from hillfield.fleet.state_updates import publish
 
-REFRESH_AGAIN: Final = 0.1
+REFRESH_INTERVAL: Final = 0.1
 # Seconds after which a node's record may be published anew, doubled while it
 # keeps changing up to the longest, and counted from the shortest again once
 # it has stayed as it was for the quiet time. A node that starts has its first
 # links within 2 s and would publish each of them; every record goes to every
 # node, so the fleet's cost of a start grows with its square.
-PUBLISH_AGAIN: Final = 0.2
-PUBLISH_LATEST: Final = 1.6
-PUBLISH_QUIET: Final = 4.0
-NAMED_LIMIT: Final = 8
+PUBLISH_DELAY: Final = 0.2
+PUBLISH_DELAY_LIMIT: Final = 1.6
+PUBLISH_QUIET_TIME: Final = 4.0
+NAMES_PER_EVENT: Final = 8
 
 
-def follow_members(core: Core, now: float) -> None:
+def refresh_members(core: Core, now: float) -> None:
     """Find anew who can be reached, if a record changed."""
-    if core.book.stale and now - core.clock.refreshed >= REFRESH_AGAIN:
-        core.clock.refreshed = now
-        changed = core.book.refresh(core.own.record.name)
-        core.outbox.gather_for(len(core.book.alive))
+    if (
+        core.book.members_stale
+        and now - core.times.members_refreshed >= REFRESH_INTERVAL
+    ):
+        core.times.members_refreshed = now
+        changed = core.book.refresh_alive(core.own.record.name)
+        core.outbox.set_node_count(len(core.book.alive))
         others = changed - {core.own.record.name}
         joined = sorted(others & core.book.alive)
         lost = sorted(others - core.book.alive)
@@ -43,19 +46,20 @@
     the others, so their time doesn't run.
     """
     if not core.heard_links():
-        core.lost = dict.fromkeys(core.lost, now)
+        core.lost_since = dict.fromkeys(core.lost_since, now)
         return
     orphaned = [
         name
-        for name, since in core.lost.items()
-        if now - since >= core.settings.orphan_hold and core.view.shows(name)
+        for name, since in core.lost_since.items()
+        if now - since >= core.settings.orphan_hold
+        and core.view.lists_node(name)
     ]
     for orphan in orphaned:
-        core.view.hide(orphan)
+        core.view.remove_node(orphan)
     _report(core, EventCode.TARGETS_ORPHANED, orphaned)
-    for name, since in tuple(core.lost.items()):
+    for name, since in tuple(core.lost_since.items()):
         if now - since >= core.settings.forget_after:
-            core.lost.pop(name)
+            core.lost_since.pop(name)
             core.book.forget(name)
 
 
@@ -66,34 +70,34 @@
     if held is not None and held.payload == payload:
         return
     since = now - core.own.published
-    if since < core.own.pause:
+    if since < core.own.publish_delay:
         return
-    doubled = min(PUBLISH_LATEST, 2 * core.own.pause)
-    quiet = since >= PUBLISH_QUIET
-    core.own.pause = PUBLISH_AGAIN if quiet else doubled
+    doubled = min(PUBLISH_DELAY_LIMIT, 2 * core.own.publish_delay)
+    quiet = since >= PUBLISH_QUIET_TIME
+    core.own.publish_delay = PUBLISH_DELAY if quiet else doubled
     core.own.published = now
     publish(core, now, Kind.MEMBER, payload)
 
 
 def _note_joined(core: Core, name: str) -> None:
-    core.lost.pop(name, None)
+    core.lost_since.pop(name, None)
     record = core.book.records[name]
-    core.addresses.drop(record.link)
-    core.view.show(name)
+    core.addresses.forget(record.link)
+    core.view.update_node(name)
 
 
 def _note_lost(core: Core, now: float, name: str) -> None:
-    core.lost[name] = now
+    core.lost_since[name] = now
     record = core.book.records.get(name)
     if record is not None:
-        core.addresses.offer(now, record.link)
+        core.addresses.add(now, record.link)
 
 
 def _report(core: Core, code: EventCode, names: list[str]) -> None:
     """Report each node, or in one event when many changed at once."""
-    if len(names) <= NAMED_LIMIT:
+    if len(names) <= NAMES_PER_EVENT:
         for name in names:
             core.report(code, peer=name)
         return
-    named = ', '.join(names[:NAMED_LIMIT])
+    named = ', '.join(names[:NAMES_PER_EVENT])
     core.report(code, detail=f'{len(names)} nodes: {named}, ...')
--- a/hillfield/fleet/mesh.py
+++ b/hillfield/fleet/mesh.py
@@ -20,7 +20,7 @@
 from hillfield.model import Address
 
 TICK: Final = 0.1
-STORM: Final = 60
+STORM_FACTOR: Final = 60
 QUEUE_LIMIT: Final = 256
 
 
@@ -44,7 +44,7 @@
         return self.entries.get(key)
 
 
-class Letter(Struct, frozen=True):
+class InFlightMessage(Struct, frozen=True):
     """Hold a message on its way."""
 
     sender: Address
@@ -53,7 +53,7 @@
 
 
 @dataclass(slots=True)
-class Weather:
+class NetworkFaults:
     """Say what happens to messages: which share is lost, doubled or late.
 
     A late one comes a tick later, or more. With `stepwise` a message takes a
@@ -62,9 +62,9 @@
 
     random: Random
     stepwise: bool = False
-    lost: float = 0
-    doubled: float = 0
-    late: float = 0
+    loss: float = 0
+    duplication: float = 0
+    delay: float = 0
     shuffled: bool = False
 
 
@@ -78,10 +78,10 @@
         self.occurrences: list[Occurrence] = []
         self.cut: set[tuple[Address, Address]] = set()
         self.paused: set[Address] = set()
-        self.weather = Weather(random)
-        self.letters: list[Letter] = []
+        self.faults = NetworkFaults(random)
+        self.in_flight: list[InFlightMessage] = []
         self.storms = 0
-        self.carried = 0
+        self.delivered = 0
         self.carried_bytes = 0
 
     def add(self, settings: FleetSettings) -> FleetState:
@@ -108,10 +108,14 @@
             self.now += TICK
             for address, state in tuple(self.states.items()):
                 if address not in self.paused:
-                    self.post(address, state.take(self.now, Ticked()))
+                    self.send_effects(
+                        address, state.handle_event(self.now, Ticked())
+                    )
             self._deliver()
 
-    def post(self, sender: Address, effects: tuple[Effect, ...]) -> None:
+    def send_effects(
+        self, sender: Address, effects: tuple[Effect, ...]
+    ) -> None:
         """Send off what a state asks for."""
         codec = Codec(self.states[sender].core.settings)
         own = self.states[sender].core.own
@@ -120,57 +124,57 @@
                 self.occurrences.append(effect.occurrence)
             if isinstance(effect, SendTo):
                 sealed = codec.seal(effect.message, own.incarnation)
-                self._put(Letter(sender, effect.peer, sealed))
+                self._put(InFlightMessage(sender, effect.peer, sealed))
 
-    def _put(self, letter: Letter) -> None:
-        weather = self.weather
+    def _put(self, letter: InFlightMessage) -> None:
+        weather = self.faults
         if (letter.sender, letter.receiver) in self.cut:
             return
-        if weather.random.random() < weather.lost:
+        if weather.random.random() < weather.loss:
             return
-        self.letters.append(letter)
-        if weather.random.random() < weather.doubled:
-            self.letters.append(letter)
+        self.in_flight.append(letter)
+        if weather.random.random() < weather.duplication:
+            self.in_flight.append(letter)
 
     def _deliver(self) -> None:
         """Deliver all, and what that calls forth unless it is stepwise."""
-        waiting: list[Letter] = []
-        limit = len(self.states) ** 2 * STORM
-        if self.weather.stepwise:
-            limit = len(self.letters)
+        waiting: list[InFlightMessage] = []
+        limit = len(self.states) ** 2 * STORM_FACTOR
+        if self.faults.stepwise:
+            limit = len(self.in_flight)
         for _ in range(limit):
-            if not self.letters:
+            if not self.in_flight:
                 break
-            letter = self.letters.pop(self._next_index())
+            letter = self.in_flight.pop(self._next_index())
             if self._is_held(letter):
                 waiting.append(letter)
             elif letter.receiver in self.states:
                 self._hand_over(letter)
         waiting.extend(self._take_left())
-        self.letters = waiting[-QUEUE_LIMIT * len(self.states) :]
+        self.in_flight = waiting[-QUEUE_LIMIT * len(self.states) :]
 
-    def _take_left(self) -> list[Letter]:
+    def _take_left(self) -> list[InFlightMessage]:
         """Return what is for the next step; without steps it is a storm."""
-        if self.weather.stepwise:
-            return self.letters
-        self.storms += bool(self.letters)
+        if self.faults.stepwise:
+            return self.in_flight
+        self.storms += bool(self.in_flight)
         return []
 
-    def _is_held(self, letter: Letter) -> bool:
+    def _is_held(self, letter: InFlightMessage) -> bool:
         if letter.receiver in self.paused:
             return True
-        weather = self.weather
-        return bool(weather.late) and weather.random.random() < weather.late
+        weather = self.faults
+        return bool(weather.delay) and weather.random.random() < weather.delay
 
     def _next_index(self) -> int:
-        if self.weather.shuffled:
-            return self.weather.random.randrange(len(self.letters))
+        if self.faults.shuffled:
+            return self.faults.random.randrange(len(self.in_flight))
         return 0
 
-    def _hand_over(self, letter: Letter) -> None:
+    def _hand_over(self, letter: InFlightMessage) -> None:
         state = self.states[letter.receiver]
-        self.carried += 1
+        self.delivered += 1
         self.carried_bytes += len(letter.sealed)
         opened = Codec(state.core.settings).open(letter.sealed)
         event = opened.ok if opened.is_ok() else Refused(opened.error)
-        self.post(letter.receiver, state.take(self.now, event))
+        self.send_effects(letter.receiver, state.handle_event(self.now, event))
--- a/hillfield/fleet/watching.py
+++ b/hillfield/fleet/mesh_observation.py
@@ -7,31 +7,31 @@
 from hillfield.fleet.mesh import TICK, Mesh
 
 WINDOW: Final = 3.0
-PATIENCE: Final = 180.0
+WAIT_LIMIT: Final = 180.0
 
 
 def wait_until(mesh: Mesh, done: Callable[[Mesh], bool]) -> float:
     """Let time pass until it is done; return the seconds that took."""
     began = mesh.now
-    while not done(mesh) and mesh.now - began < PATIENCE:
+    while not done(mesh) and mesh.now - began < WAIT_LIMIT:
         mesh.run(TICK)
     return mesh.now - began
 
 
-def all_members(mesh: Mesh) -> bool:
+def have_all_members(mesh: Mesh) -> bool:
     """Return whether each node has just the others as members."""
     counts = {len(state.core.book.alive) for state in mesh.states.values()}
     return counts == {len(mesh.states)}
 
 
-def bytes_in(mesh: Mesh, seconds: float) -> int:
+def count_received_bytes(mesh: Mesh, seconds: float) -> int:
     """Let time pass; return the bytes that all nodes received."""
     before = mesh.carried_bytes
     mesh.run(seconds)
     return mesh.carried_bytes - before
 
 
-def find_busiest(samples: list[int]) -> int:
+def find_busiest_window(samples: list[int]) -> int:
     """Return the most that came within one window."""
     rolling: deque[int] = deque(maxlen=round(WINDOW / TICK))
     most = 0
--- a/hillfield/fleet/handling.py
+++ b/hillfield/fleet/message_handlers.py
@@ -9,7 +9,7 @@
 from hillfield.events import EventCode
 from hillfield.fleet.core import Core
 from hillfield.fleet.envelope import Received, Refusal
-from hillfield.fleet.heartbeats import heartbeat_of, hello_of
+from hillfield.fleet.heartbeats import build_heartbeat, build_hello
 from hillfield.fleet.messages import (
     Goodbye,
     Hello,
@@ -18,15 +18,15 @@
 )
 from hillfield.fleet.peering.link_table import Link
 from hillfield.fleet.records import Kind
-from hillfield.fleet.replication.summary import hash_of
-from hillfield.fleet.statements import take_in
+from hillfield.fleet.replication.summary import hash_text
+from hillfield.fleet.state_updates import receive_update
 from hillfield.model import Address
 
-STREAK: Final = 2
-REFERRED: Final = 6
+MESSAGES_UNTIL_UP: Final = 2
+REFERRAL_LIMIT: Final = 6
 
 
-class Source(Struct, frozen=True):
+class MessageSource(Struct, frozen=True):
     """Say when, from whom and over which link a message came."""
 
     now: float
@@ -36,82 +36,82 @@
 
 
 @singledispatch
-def react(message: object, core: Core, source: Source) -> None:
+def handle_message(message: object, core: Core, source: MessageSource) -> None:
     """React to a message; unknown kinds were refused by the codec."""
     raise TypeError(type(message).__name__)
 
 
-def receive(core: Core, now: float, received: Received) -> None:
+def receive_message(core: Core, now: float, received: Received) -> None:
     """Note that the sender lives and react to its message."""
     if received.sender == core.own.record.name:
         core.count('own-name')
         return
     held = core.book.get(Kind.MEMBER, received.sender)
-    link = core.links.named(received.sender)
-    source = Source(now, received.sender, received.incarnation, link)
+    link = core.links.find_by_name(received.sender)
+    source = MessageSource(now, received.sender, received.incarnation, link)
     if held and received.incarnation < held.incarnation:
         core.count(Refusal.STALE_SENDER)
         _tell_stale(core, received, source)
         return
     if link is not None:
         _note_sign(core, link, source)
-    react(received.message, core, source)
+    handle_message(received.message, core, source)
 
 
-@react.register
-def _(message: Hello, core: Core, source: Source) -> None:
-    link = core.links.at(message.link)
+@handle_message.register
+def _(message: Hello, core: Core, source: MessageSource) -> None:
+    link = core.links.find_by_address(message.link)
     if link is None:
         if not message.asks or message.link == core.settings.link:
             return
-        if core.links.accepted() >= core.settings.accepted_links:
+        if core.links.count_accepted() >= core.settings.accepted_links:
             _refer(core, message.link)
             return
         link = Link(message.link, dialled=False, opened=source.now)
         core.links.open(link)
         core.outbox.dial(link.address)
     if link.name != source.sender:
-        core.links.name(link, source.sender)
-        link.streak = 0
+        core.links.set_name(link, source.sender)
+        link.received_in_row = 0
         _note_sign(core, link, source)
     link.locality = message.locality
     if message.asks:
-        core.outbox.send(link.address, hello_of(core, asks=False))
+        core.outbox.send(link.address, build_hello(core, asks=False))
     if not link.up:
-        core.outbox.send(link.address, heartbeat_of(core, source.now))
+        core.outbox.send(link.address, build_heartbeat(core, source.now))
 
 
-@react.register
-def _(message: Referral, core: Core, source: Source) -> None:
-    for address in message.links[:REFERRED]:
-        core.addresses.offer(source.now, address)
+@handle_message.register
+def _(message: Referral, core: Core, source: MessageSource) -> None:
+    for address in message.links[:REFERRAL_LIMIT]:
+        core.addresses.add(source.now, address)
 
 
-@react.register
-def _(message: Goodbye, core: Core, source: Source) -> None:
+@handle_message.register
+def _(message: Goodbye, core: Core, source: MessageSource) -> None:
     if source.link is not None:
         core.links.close(source.link)
-        core.outbox.hang_up(source.link.address)
+        core.outbox.disconnect(source.link.address)
 
 
-@react.register
-def _(message: Statements, core: Core, source: Source) -> None:
+@handle_message.register
+def _(message: Statements, core: Core, source: MessageSource) -> None:
     for statement in message.statements:
-        take_in(core, source.now, statement, source.link)
+        receive_update(core, source.now, statement, source.link)
 
 
-def _note_sign(core: Core, link: Link, source: Source) -> None:
+def _note_sign(core: Core, link: Link, source: MessageSource) -> None:
     if link.incarnation != source.incarnation:
         link.incarnation = source.incarnation
         link.ready = False
         link.synced = False
-        link.repaired = -inf
-    link.heard = source.now
-    link.streak += 1
-    if link.streak >= STREAK and not link.up:
+        link.hashes_sent = -inf
+    link.last_received = source.now
+    link.received_in_row += 1
+    if link.received_in_row >= MESSAGES_UNTIL_UP and not link.up:
         link.up = True
         core.report(EventCode.NEIGHBOUR_HEARD, peer=link.name)
-        core.outbox.send(link.address, heartbeat_of(core, source.now))
+        core.outbox.send(link.address, build_heartbeat(core, source.now))
 
 
 def _refer(core: Core, asker: Address) -> None:
@@ -119,15 +119,15 @@
     core.count('referred')
     members = sorted(
         (core.book.records[name].link for name in core.book.alive),
-        key=lambda link: hash_of(f'{asker}>{link}'),
+        key=lambda link: hash_text(f'{asker}>{link}'),
     )
     others = [link for link in members if link != core.settings.link]
     core.outbox.dial(asker)
-    core.outbox.send(asker, Referral(tuple(others[:REFERRED])))
-    core.outbox.hang_up(asker)
+    core.outbox.send(asker, Referral(tuple(others[:REFERRAL_LIMIT])))
+    core.outbox.disconnect(asker)
 
 
-def _tell_stale(core: Core, received: Received, source: Source) -> None:
+def _tell_stale(core: Core, received: Received, source: MessageSource) -> None:
     """Tell a node of an earlier life what the fleet remembers of it.
 
     A node whose clock was set back learns by this to raise its incarnation.
@@ -136,8 +136,8 @@
     if not isinstance(received.message, Hello) or held is None:
         return
     address = received.message.link
-    if core.links.at(address) is None:
-        if core.links.accepted() >= core.settings.accepted_links:
+    if core.links.find_by_address(address) is None:
+        if core.links.count_accepted() >= core.settings.accepted_links:
             return
         core.links.open(Link(address, dialled=False, opened=source.now))
         core.outbox.dial(address)
--- a/hillfield/fleet/messages.py
+++ b/hillfield/fleet/messages.py
@@ -28,17 +28,17 @@
 class Heartbeat(Struct, frozen=True, array_like=True, tag=3):
     """Say that the sender lives, and sum up what it knows in two hashes.
 
-    `newest` is the newest revision of its entries; `age` is how many
+    `newest` is the newest revision of its entries; `read_age_ms` is how many
     milliseconds ago these were known to be all that the store holds (None:
-    not known), `in_vain` that it has tried since to read the store.
+    not known), `read_failed` that it has tried since to read the store.
     """
 
-    statements: int
-    entries: int
+    state_hash: int
+    entries_hash: int
     ready: bool
     newest: int = 0
-    age: int | None = None
-    in_vain: bool = False
+    read_age_ms: int | None = None
+    read_failed: bool = False
 
 
 class Statement(Struct, frozen=True, array_like=True):
--- a/hillfield/fleet/outages.py
+++ b/hillfield/fleet/outages.py
@@ -21,12 +21,12 @@
 from hillfield.fleet.mesh import TICK, Mesh
 from hillfield.fleet.state import FleetState
 from hillfield.fleet.traffic import start_mesh
-from hillfield.fleet.watching import (
-    PATIENCE,
+from hillfield.fleet.mesh_observation import (
+    WAIT_LIMIT,
     WINDOW,
-    all_members,
-    bytes_in,
-    find_busiest,
+    have_all_members,
+    count_received_bytes,
+    find_busiest_window,
     wait_until,
 )
 from hillfield.model import Address, Target, TargetState
@@ -72,7 +72,7 @@
 def measure_domain_loss(nodes: int) -> DomainLoss:
     """Take one of eight failure domains away at once, without a word."""
     mesh = _start(nodes)
-    quiet = bytes_in(mesh, WINDOW)
+    quiet = count_received_bytes(mesh, WINDOW)
     everyone = tuple(mesh.states)
     lost = everyone[LOST_DOMAIN::DOMAINS]
     for address in lost:
@@ -80,16 +80,16 @@
     remaining = len(mesh.states)
     began = mesh.now
     samples: list[int] = []
-    while not all_members(mesh) and mesh.now - began < PATIENCE:
-        samples.append(bytes_in(mesh, TICK))
+    while not have_all_members(mesh) and mesh.now - began < WAIT_LIMIT:
+        samples.append(count_received_bytes(mesh, TICK))
     settled = mesh.now - began
     for _ in range(HELD_TICKS):
-        samples.append(bytes_in(mesh, TICK))
+        samples.append(count_received_bytes(mesh, TICK))
     return DomainLoss(
         nodes=nodes,
         lost=len(lost),
         settled=settled,
-        bytes_in_window=find_busiest(samples) / remaining,
+        bytes_in_window=find_busiest_window(samples) / remaining,
         quiet_in_window=quiet / nodes,
         targets_kept=_count_targets_of(mesh, lost),
     )
@@ -113,7 +113,7 @@
     mesh.run(WINDOW)
     before = mesh.carried_bytes
     mesh.cut.clear()
-    members = wait_until(mesh, all_members)
+    members = wait_until(mesh, have_all_members)
     entries = members + wait_until(mesh, _all_entries)
     return Merge(
         nodes=nodes,
@@ -126,7 +126,7 @@
 
 def _start(nodes: int) -> Mesh:
     mesh = start_mesh(nodes)
-    mesh.weather.stepwise = True
+    mesh.faults.stepwise = True
     return mesh
 
 
@@ -168,6 +168,6 @@
 def _count_targets_of(mesh: Mesh, lost: tuple[Address, ...]) -> int:
     names = {name_of(address.port - FIRST_PORT) for address in lost}
     return sum(
-        any(state.core.view.shows(name) for name in names)
+        any(state.core.view.lists_node(name) for name in names)
         for state in mesh.states.values()
     )
--- a/hillfield/fleet/outbox.py
+++ b/hillfield/fleet/outbox.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from hillfield.events import Occurrence
-from hillfield.fleet.effects import Dial, Effect, HangUp, Report, SendTo
+from hillfield.fleet.effects import Dial, Effect, Disconnect, Report, SendTo
 from hillfield.fleet.messages import (
     Have,
     Message,
@@ -13,7 +13,7 @@
     Statements,
     Version,
 )
-from hillfield.fleet.pages import pages_of
+from hillfield.fleet.pages import split_into_pages
 from hillfield.fleet.settings import FleetSettings
 from hillfield.model import Address
 
@@ -21,32 +21,32 @@
 # Seconds that statements are gathered for each live node: where more nodes
 # may change, more changes share a message, and a neighbour's own copy comes
 # before ours is sent. No choice of a target waits for a statement.
-GATHERED_PER_NODE: Final = 0.001
+GATHER_SECONDS_PER_NODE: Final = 0.001
 
 
 @dataclass(slots=True)
 class Batch:
     """Hold what waits for one link; a newer statement replaces an older."""
 
-    statements: dict[str, Statement] = field(default_factory=dict)
+    updates: dict[str, Statement] = field(default_factory=dict)
     versions: dict[str, Version] = field(default_factory=dict)
 
 
 @dataclass(slots=True)
-class Lane:
-    """Hold the batches that are sent together, `pause` seconds apart."""
+class BatchQueue:
+    """Hold the batches that are sent together, `interval` seconds apart."""
 
-    pause: float
+    interval: float
     batches: dict[Address, Batch] = field(default_factory=dict)
     flushed: float = -inf
 
-    def batch(self, peer: Address) -> Batch:
+    def get_batch(self, peer: Address) -> Batch:
         """Return the batch that waits for a peer."""
         return self.batches.setdefault(peer, Batch())
 
-    def take_due(self, now: float) -> dict[Address, Batch]:
+    def pop_due(self, now: float) -> dict[Address, Batch]:
         """Return the batches if they are due."""
-        if not self.batches or now - self.flushed < self.pause:
+        if not self.batches or now - self.flushed < self.interval:
             return {}
         self.flushed = now
         due = self.batches
@@ -61,15 +61,15 @@
         """Start empty."""
         self._settings = settings
         self._effects: list[Effect] = []
-        self._prompt = Lane(settings.flush_after)
-        self._news = Lane(settings.flush_after)
-        self._dear = Lane(settings.dear_flush_after)
+        self._prompt = BatchQueue(settings.flush_after)
+        self._news = BatchQueue(settings.flush_after)
+        self._dear = BatchQueue(settings.dear_flush_after)
         self._lanes = (self._prompt, self._news, self._dear)
 
-    def gather_for(self, nodes: int) -> None:
+    def set_node_count(self, nodes: int) -> None:
         """Gather statements for as long as so many live nodes ask for."""
-        gathered = nodes * GATHERED_PER_NODE
-        self._news.pause = max(self._settings.flush_after, gathered)
+        gathered = nodes * GATHER_SECONDS_PER_NODE
+        self._news.interval = max(self._settings.flush_after, gathered)
 
     def send(self, peer: Address, message: Message) -> None:
         """Send a message now."""
@@ -79,17 +79,17 @@
         """Open a link."""
         self._effects.append(Dial(peer))
 
-    def hang_up(self, peer: Address) -> None:
+    def disconnect(self, peer: Address) -> None:
         """Close a link and forget what waits for it."""
         for lane in self._lanes:
             lane.batches.pop(peer, None)
-        self._effects.append(HangUp(peer))
+        self._effects.append(Disconnect(peer))
 
     def report(self, occurrence: Occurrence) -> None:
         """Record an event."""
         self._effects.append(Report(occurrence))
 
-    def pass_on(
+    def queue_update(
         self,
         peer: Address,
         statement: Statement,
@@ -98,30 +98,30 @@
     ) -> None:
         """Send a statement with the next batch; dear ones wait for more."""
         lane = self._dear if dear else self._news
-        waiting = lane.batch(peer).statements
+        waiting = lane.get_batch(peer).updates
         if len(waiting) < BATCH_LIMIT:
             waiting[statement.kind + statement.name] = statement
 
-    def leave_out(self, peer: Address, known: Statement) -> None:
+    def drop_known(self, peer: Address, known: Statement) -> None:
         """Don't send a peer what it has just sent itself, or older."""
         key = known.kind + known.name
         for lane in (self._news, self._dear):
             if peer not in lane.batches:
                 continue
-            batch = lane.batches[peer].statements
+            batch = lane.batches[peer].updates
             if key in batch and batch[key].order <= known.order:
                 batch.pop(key)
 
-    def announce(self, peer: Address, version: Version) -> None:
+    def queue_offer(self, peer: Address, version: Version) -> None:
         """Announce an entry with the next batch."""
-        waiting = self._prompt.batch(peer).versions
+        waiting = self._prompt.get_batch(peer).versions
         if len(waiting) < BATCH_LIMIT:
             waiting[version.key] = version
 
-    def take(self, now: float) -> tuple[Effect, ...]:
+    def pop_effects(self, now: float) -> tuple[Effect, ...]:
         """Return the effects, with the batches when they are due."""
         for lane in self._lanes:
-            for peer, batch in lane.take_due(now).items():
+            for peer, batch in lane.pop_due(now).items():
                 self._flush(peer, batch)
         effects = tuple(self._effects)
         self._effects = []
@@ -129,7 +129,7 @@
 
     def _flush(self, peer: Address, batch: Batch) -> None:
         limit = self._settings.page_limit
-        for page in pages_of(tuple(batch.statements.values()), limit):
+        for page in split_into_pages(tuple(batch.updates.values()), limit):
             self.send(peer, Statements(page))
         if batch.versions:
             self.send(peer, Have(tuple(batch.versions.values())))
--- a/hillfield/fleet/pages.py
+++ b/hillfield/fleet/pages.py
@@ -17,7 +17,7 @@
 Row = TypeVar('Row', bound=Sized)
 
 
-def pages_of(
+def split_into_pages(
     rows: tuple[Row, ...],
     limit: int,
 ) -> Iterator[tuple[Row, ...]]:
--- a/hillfield/fleet/introductions.py
+++ b/hillfield/fleet/peer_discovery.py
@@ -7,10 +7,10 @@
 from msgspec import Struct
 
 from hillfield.clocks import monotonic
-from hillfield.fleet.feeds import PAGE, StoreFeed
+from hillfield.fleet.feeds import PAGE_ENTRIES, StoreFeed
 from hillfield.fleet.peering.selection import rank_names
 from hillfield.fleet.service import Fleet
-from hillfield.fleet.slots import SLOTS, prefix_of, rank_of
+from hillfield.fleet.slots import SLOTS_PER_DOMAIN, prefix_of, rank_of
 from hillfield.model import Address, parse_address
 from hillfield.store.paging import Span, read_span
 from hillfield.store.ports import Accepted, Change, Conflict, Store, StoredValue
@@ -19,11 +19,11 @@
 # of a slot in each other one. With two there, 31 nodes that start together
 # tell 2.25 MB across in 3 s and know all targets no sooner than with one and
 # 1.19 MB (modelled).
-OFFERED_NEAR: Final = 2
-OFFERED_FAR: Final = 1
+LOCAL_PEERS_DIALLED: Final = 2
+REMOTE_PEERS_DIALLED: Final = 1
 # Registered peers of the own failure domain of which some will live: of three
 # that are picked at random all are gone once in eight times when half are.
-ENOUGH_PEERS: Final = 3
+LOCAL_PEERS_NEEDED: Final = 3
 
 
 class Registration(Struct, frozen=True):
@@ -34,7 +34,7 @@
     link: Address
 
 
-class Introductions:
+class PeerDiscovery:
     """Write where this node listens, and read where others do."""
 
     def __init__(
@@ -53,13 +53,13 @@
         self._asked = False
         self._own_domain = fleet.settings.locality.failure_domain
 
-    def offer_far(self) -> None:
+    def dial_other_domains(self) -> None:
         """Offer a few nodes of each other failure domain as peers."""
         domains = {registered.domain for registered in self._registered}
         for domain in sorted(domains - {self._own_domain}):
-            self._offer(domain, OFFERED_FAR)
+            self._offer(domain, REMOTE_PEERS_DIALLED)
 
-    async def introduce(self) -> bool:
+    async def join(self) -> bool:
         """Register this node and offer some peers; False: to be repeated.
 
         What others registered some seconds ago is enough for a node that
@@ -69,10 +69,10 @@
         if await self._read(stale=True):
             settings = self._fleet.settings
             own = Registration(self._own_domain, settings.name, settings.link)
-            if is_introduced(own, self._registered):
+            if is_registration_sufficient(own, self._registered):
                 self._offer_near()
                 return True
-        return await self.register() and await self.meet()
+        return await self.register() and await self.discover()
 
     async def register(self) -> bool:
         """Write this node's link address where others look for it."""
@@ -88,7 +88,7 @@
             return await self._swap(again) == Conflict(())
         return conflict is not None
 
-    async def meet(self) -> bool:
+    async def discover(self) -> bool:
         """Read the registered addresses and offer some as those of peers.
 
         Those of other failure domains are only for holders of a slot.
@@ -98,7 +98,7 @@
             self._offer_near()
         return known
 
-    def is_among_first(self) -> bool:
+    def ranks_for_slot(self) -> bool:
         """Tell whether this node ranks high enough for one of the slots.
 
         A fresh fleet need not wait to hear of each other for that.
@@ -110,15 +110,15 @@
             if registration.domain == self._own_domain
         )
         own = rank_of(slot, self._fleet.settings.name)
-        return own in ranked[:SLOTS]
+        return own in ranked[:SLOTS_PER_DOMAIN]
 
     async def _read(self, *, stale: bool) -> bool:
         """Read the registered addresses."""
         prefix = prefix_of(self._fleet.settings.cluster)
         span = Span(prefix, stale=stale)
-        read = await read_span(self._store, span, PAGE)
+        read = await read_span(self._store, span, PAGE_ENTRIES)
         if read.is_error():
-            self._feed.note_error(read.error)
+            self._feed.report_error(read.error)
             return False
         self._registered = read_registrations(read.ok.entries)
         return True
@@ -129,13 +129,13 @@
         Those that it would choose may all be gone.
         """
         if self._asked:
-            self._offer(self._own_domain, OFFERED_NEAR)
+            self._offer(self._own_domain, LOCAL_PEERS_DIALLED)
             return
         self._asked = True
         peers = self._list_peers(self._own_domain)
         found = {peer.name: peer for peer in peers}
         ranked = rank_names(self._fleet.settings.name, found)
-        first = ranked[:OFFERED_NEAR]
+        first = ranked[:LOCAL_PEERS_DIALLED]
         self._dial([found[name] for name in first])
 
     def _offer(self, domain: str, most: int) -> None:
@@ -162,18 +162,18 @@
         """Write a key; return what stands in the way, None after an error."""
         swapped = await self._store.swap((change,))
         if swapped.is_error():
-            self._feed.note_error(swapped.error)
+            self._feed.report_error(swapped.error)
             return None
         return Conflict(()) if isinstance(swapped.ok, Accepted) else swapped.ok
 
 
-def is_introduced(
+def is_registration_sufficient(
     own: Registration,
     registered: tuple[Registration, ...],
 ) -> bool:
     """Tell whether a node is registered, and enough peers near it are."""
     near = sum(other.domain == own.domain for other in registered)
-    return own in registered and near > ENOUGH_PEERS
+    return own in registered and near > LOCAL_PEERS_NEEDED
 
 
 def _find_current(conflict: Conflict) -> StoredValue | None:
--- a/hillfield/fleet/peering/distance.py
+++ b/hillfield/fleet/peering/cross_domain.py
@@ -5,21 +5,21 @@
 from hillfield.fleet.peering.link_table import Link
 
 
-def is_dear(core: Core, link: Link) -> bool:
+def is_cross_domain(core: Core, link: Link) -> bool:
     """Tell whether bytes over a link cross failure domains and are dear."""
     if not core.settings.sparse or link.locality is None:
         return False
     return link.locality.failure_domain != _home(core)
 
 
-def concerns(core: Core, link: Link, statement: Statement) -> bool:
+def is_update_sent(core: Core, link: Link, statement: Statement) -> bool:
     """Tell whether a statement is told over a link at once.
 
     Over a dear link go only statements of nodes of this failure domain, and
     only from a holder of a relay slot: each domain tells the others its own
     news. What they miss is found by the hashes of heartbeats.
     """
-    if not is_dear(core, link):
+    if not is_cross_domain(core, link):
         return True
     if not core.own.record.relay_of:
         return False
--- a/hillfield/fleet/peering/known_addresses.py
+++ b/hillfield/fleet/peering/known_addresses.py
@@ -5,23 +5,23 @@
 
 from msgspec import Struct
 
-from hillfield.fleet.replication.summary import hash_of
+from hillfield.fleet.replication.summary import hash_text
 from hillfield.fleet.settings import FleetSettings
 from hillfield.model import Address
 
 GROWTH: Final = 2
-REMEMBERED: Final = 7200.0
-ALONE_DIALS: Final = 3
+ADDRESS_LIFETIME: Final = 7200.0
+ISOLATED_DIALS: Final = 3
 SPREAD_STEPS: Final = 128
-FAILURES_COUNTED: Final = 16
+FAILURES_LIMIT: Final = 16
 
 
 class KnownAddress(Struct, frozen=True):
     """Hold when an address was tried last, and how often in vain."""
 
-    tried: float
+    last_tried: float
     failures: int
-    until: float
+    expires: float
 
 
 class KnownAddresses:
@@ -44,29 +44,29 @@
         """Return how many addresses are remembered."""
         return len(self._known)
 
-    def offer(self, now: float, address: Address) -> None:
+    def add(self, now: float, address: Address) -> None:
         """Remember an address."""
         if address == self._settings.link or address in self._known:
             return
-        self._known[address] = KnownAddress(-inf, 0, now + REMEMBERED)
+        self._known[address] = KnownAddress(-inf, 0, now + ADDRESS_LIFETIME)
         if len(self._known) > self._settings.addresses_kept:
             self._known.pop(min(self._known, key=self._rank))
 
-    def drop(self, address: Address) -> None:
+    def forget(self, address: Address) -> None:
         """Forget an address whose node is a member again."""
         known = self._known.get(address)
-        if known and known.until != inf:
+        if known and known.expires != inf:
             self._known.pop(address)
 
-    def due(self, now: float, alone: bool) -> tuple[Address, ...]:
+    def select_due(self, now: float, alone: bool) -> tuple[Address, ...]:
         """Return the addresses to dial now and put off their next try."""
         self._expire(now)
         ready = sorted(
-            (known.tried, address)
+            (known.last_tried, address)
             for address, known in self._known.items()
-            if now - known.tried >= self._find_pause(address, alone)
+            if now - known.last_tried >= self._find_pause(address, alone)
         )
-        chosen = ready[: ALONE_DIALS if alone else 1]
+        chosen = ready[: ISOLATED_DIALS if alone else 1]
         for _, turn in chosen:
             self._put_off(now, turn)
         return tuple(address for _, address in chosen)
@@ -85,12 +85,12 @@
 
     def _put_off(self, now: float, address: Address) -> None:
         known = self._known[address]
-        failures = min(known.failures + 1, FAILURES_COUNTED)
-        self._known[address] = KnownAddress(now, failures, known.until)
+        failures = min(known.failures + 1, FAILURES_LIMIT)
+        self._known[address] = KnownAddress(now, failures, known.expires)
 
     def _expire(self, now: float) -> None:
         for address, known in tuple(self._known.items()):
-            if known.until <= now:
+            if known.expires <= now:
                 self._known.pop(address)
 
     def _rank(self, address: Address) -> float:
@@ -103,4 +103,4 @@
 
     def _hash(self, address: Address) -> int:
         name = self._settings.name
-        return hash_of(f'{name}>{address}')
+        return hash_text(f'{name}>{address}')
--- a/hillfield/fleet/peering/link_table.py
+++ b/hillfield/fleet/peering/link_table.py
@@ -11,11 +11,11 @@
 class Link:
     """Hold what is known of one link.
 
-    `heard` is when its peer was heard last, `streak` how many messages came
-    since it was last thought silent, `up` whether it is heard, `differences`
+    `last_received` is when its peer was heard last, `received_in_row` how many messages came
+    since it was last thought silent, `up` whether it is heard, `mismatches`
     for how many heartbeats in a row its hash of a subject has differed from
-    ours. `confirmed` is when `entries`, a hash, with `newest` as the newest
-    revision were all that the store held, `in_vain` whether the peer has
+    ours. `confirmed` is when `entries_hash`, a hash, with `newest` as the newest
+    revision were all that the store held, `read_failed` whether the peer has
     tried in vain to read it since.
     """
 
@@ -25,27 +25,27 @@
     name: str = ''
     incarnation: int = 0
     locality: Locality | None = None
-    heard: float = -inf
-    streak: int = 0
+    last_received: float = -inf
+    received_in_row: int = 0
     up: bool = False
     ready: bool = False
     synced: bool = False
-    differences: list[int] = field(default_factory=lambda: [0, 0])
-    repaired: float = -inf
+    mismatches: list[int] = field(default_factory=lambda: [0, 0])
+    hashes_sent: float = -inf
     confirmed: float = -inf
-    entries: int = 0
+    entries_hash: int = 0
     newest: int = 0
-    in_vain: bool = False
+    read_failed: bool = False
 
-    def excuse(self, now: float, seconds: float) -> None:
+    def discount_pause(self, now: float, seconds: float) -> None:
         """Hold no silence of the last seconds against the peer."""
-        self.heard = min(now, self.heard + seconds)
+        self.last_received = min(now, self.last_received + seconds)
         self.opened = min(now, self.opened + seconds)
 
     @property
-    def last_sign(self) -> float:
+    def last_activity(self) -> float:
         """Return when the link was opened or its peer heard."""
-        return max(self.opened, self.heard)
+        return max(self.opened, self.last_received)
 
 
 class LinkTable:
@@ -74,21 +74,21 @@
         if self._names.get(link.name) is link:
             self._names.pop(link.name)
 
-    def at(self, address: Address) -> Link | None:
+    def find_by_address(self, address: Address) -> Link | None:
         """Return the link to an address."""
         return self._links.get(address)
 
-    def named(self, name: str) -> Link | None:
+    def find_by_name(self, name: str) -> Link | None:
         """Return the link to a named peer."""
         return self._names.get(name)
 
-    def name(self, link: Link, name: str) -> None:
+    def set_name(self, link: Link, name: str) -> None:
         """Note whom the link leads to."""
         if self._names.get(link.name) is link:
             self._names.pop(link.name)
         link.name = name
         self._names[name] = link
 
-    def accepted(self) -> int:
+    def count_accepted(self) -> int:
         """Return how many links others have asked for."""
         return sum(not link.dialled for link in self._links.values())
--- a/hillfield/fleet/peering/selection.py
+++ b/hillfield/fleet/peering/selection.py
@@ -12,18 +12,18 @@
 from msgspec import Struct
 
 from hillfield.fleet.records import NodeRecord
-from hillfield.fleet.replication.summary import hash_of
+from hillfield.fleet.replication.summary import hash_text
 
 
-class Circle(Struct, frozen=True):
+class PeerCandidates(Struct, frozen=True):
     """Hold the node that chooses and all that it may choose from."""
 
-    chooser: NodeRecord
+    own: NodeRecord
     others: tuple[NodeRecord, ...]
     count: int
 
 
-def choose(circle: Circle) -> tuple[NodeRecord, ...]:
+def choose_peers(circle: PeerCandidates) -> tuple[NodeRecord, ...]:
     """Return the nodes to link to, the most needed first."""
     chosen: dict[str, NodeRecord] = {}
     for group in (
@@ -57,30 +57,30 @@
 
 def _follow_ring(own_name: str, names: Iterable[str]) -> list[str]:
     """Return the name that comes after a node's own in the ring, if any."""
-    here = hash_of(own_name)
-    ring = sorted(names, key=hash_of)
-    after = [name for name in ring if hash_of(name) > here]
+    here = hash_text(own_name)
+    ring = sorted(names, key=hash_text)
+    after = [name for name in ring if hash_text(name) > here]
     return after[:1] or ring[:1]
 
 
 def _weigh(own_name: str, name: str) -> int:
     """Return how late a node chooses another by rendezvous hashing."""
-    return hash_of(f'{own_name}>{name}')
+    return hash_text(f'{own_name}>{name}')
 
 
-def _next_in_ring(circle: Circle) -> list[NodeRecord]:
-    home = circle.chooser.locality
+def _next_in_ring(circle: PeerCandidates) -> list[NodeRecord]:
+    home = circle.own.locality
     near = {
         record.name: record
         for record in circle.others
         if record.locality.region == home.region
         and record.locality.failure_domain == home.failure_domain
     }
-    return [near[name] for name in _follow_ring(circle.chooser.name, near)]
+    return [near[name] for name in _follow_ring(circle.own.name, near)]
 
 
-def _other_domains(circle: Circle) -> list[NodeRecord]:
-    home = circle.chooser.locality
+def _other_domains(circle: PeerCandidates) -> list[NodeRecord]:
+    home = circle.own.locality
     return [
         record
         for record in circle.others
@@ -89,8 +89,8 @@
     ]
 
 
-def _other_regions(circle: Circle) -> list[NodeRecord]:
-    home = circle.chooser.locality
+def _other_regions(circle: PeerCandidates) -> list[NodeRecord]:
+    home = circle.own.locality
     return [
         record
         for record in circle.others
@@ -99,10 +99,10 @@
 
 
 def _ranked(
-    circle: Circle,
+    circle: PeerCandidates,
     records: Iterable[NodeRecord],
 ) -> list[NodeRecord]:
-    own_name = circle.chooser.name
+    own_name = circle.own.name
     return sorted(
         records,
         key=lambda record: _weigh(own_name, record.name),
--- a/hillfield/fleet/publishing.py
+++ b/hillfield/fleet/publishing.py
@@ -8,11 +8,11 @@
 from hillfield.detection.evidence import Evidence
 from hillfield.fleet.core import Core
 from hillfield.fleet.records import Kind
-from hillfield.fleet.statements import publish
+from hillfield.fleet.state_updates import publish
 from hillfield.model import Target
 
 EVIDENCE_LIMIT: Final = 32
-EVIDENCE_AGAIN: Final = 1.0
+EVIDENCE_INTERVAL: Final = 1.0
 
 
 class Publisher:
@@ -26,7 +26,7 @@
         self._said: tuple[Evidence, ...] = ()
         self._said_at = -inf
 
-    def take_targets(self, now: float, targets: tuple[Target, ...]) -> None:
+    def update_targets(self, now: float, targets: tuple[Target, ...]) -> None:
         """Publish these targets, at once or when the start has settled."""
         self._targets = tuple(
             replace(target, load=None)
@@ -34,7 +34,9 @@
         )
         self.publish_due(now)
 
-    def take_evidence(self, now: float, evidence: tuple[Evidence, ...]) -> None:
+    def update_evidence(
+        self, now: float, evidence: tuple[Evidence, ...]
+    ) -> None:
         """Publish this evidence, the most telling pieces if it is long."""
         worst = sorted(evidence, key=lambda piece: -piece.failures)
         self._evidence = tuple(worst[:EVIDENCE_LIMIT])
@@ -43,9 +45,9 @@
     def publish_due(self, now: float) -> None:
         """Publish what is due."""
         settings = self._core.settings
-        if now - self._core.clock.started >= settings.settle:
+        if now - self._core.times.started >= settings.settle:
             self._publish_targets(now)
-        if now - self._said_at >= EVIDENCE_AGAIN:
+        if now - self._said_at >= EVIDENCE_INTERVAL:
             fading = now - self._said_at >= settings.evidence_life / 2
             if self._evidence != self._said or (self._evidence and fading):
                 self._publish_evidence(now)
--- a/hillfield/fleet/readiness.py
+++ b/hillfield/fleet/readiness.py
@@ -9,11 +9,11 @@
 from hillfield.fleet.peering.link_table import Link
 from hillfield.fleet.records import NodeState
 
-ENOUGH: Final = 2
-WAIT_REPORTED: Final = 10.0
+SYNCED_PEERS_NEEDED: Final = 2
+WAIT_REPORT_INTERVAL: Final = 10.0
 
 
-def judge_readiness(core: Core, now: float) -> None:
+def update_readiness(core: Core, now: float) -> None:
     """Become ready when two ready neighbours hold just what we hold.
 
     They must be of two failure domains where there are ready neighbours of
@@ -27,8 +27,8 @@
         core.own.record = replace(core.own.record, state=NodeState.SERVING)
         core.report(EventCode.CONFIGURATION_READY)
         return
-    if now - core.clock.waited >= WAIT_REPORTED:
-        core.clock.waited = now
+    if now - core.times.wait_reported >= WAIT_REPORT_INTERVAL:
+        core.times.wait_reported = now
         _report_waiting(core)
 
 
@@ -49,7 +49,7 @@
             f'a peer with configuration: none of {peers} heard has it;'
             ' a relay must read it from the store'
         )
-    lacking = core.ledger.lacking
+    lacking = core.ledger.missing_count
     return (
         'the configuration to be the same as that of two neighbours;'
         f' {lacking} entries are on their way'
@@ -59,12 +59,14 @@
 def _is_compared(core: Core, now: float) -> bool:
     ready = [link for link in core.heard_links() if link.ready]
     synced = [link for link in ready if link.synced]
-    if not synced or core.ledger.lacking:
+    if not synced or core.ledger.missing_count:
         return False
-    if len(ready) < ENOUGH:
-        return now - core.clock.started >= core.settings.settle
-    domains = min(ENOUGH, len(_domains(ready)))
-    return len(synced) >= ENOUGH and len(_domains(synced)) >= domains
+    if len(ready) < SYNCED_PEERS_NEEDED:
+        return now - core.times.started >= core.settings.settle
+    domains = min(SYNCED_PEERS_NEEDED, len(_domains(ready)))
+    return (
+        len(synced) >= SYNCED_PEERS_NEEDED and len(_domains(synced)) >= domains
+    )
 
 
 def _domains(links: list[Link]) -> set[str]:
--- a/hillfield/fleet/records.py
+++ b/hillfield/fleet/records.py
@@ -43,7 +43,7 @@
     control: Address
     caller: Address
     state: NodeState = NodeState.JOINING
-    hears: tuple[str, ...] = ()
+    receives_from: tuple[str, ...] = ()
     relay_of: str = ''
 
 
--- a/hillfield/fleet/relay.py
+++ b/hillfield/fleet/relay.py
@@ -13,19 +13,19 @@
     OpenSlot,
     find_open_slot,
     prefix_of,
-    prefixes_of,
+    make_configuration_prefixes,
 )
 from hillfield.model import parse_address
 from hillfield.store.lease_clock import LeaseSettings
 from hillfield.store.leases import LeaseKeeper
 from hillfield.store.ports import Accepted, Change, Store
 
-LOOK_AGAIN: Final = 0.5
-SEEK_AGAIN: Final = 2.0
-SEEK_LIMIT: Final = 30.0
+CHECK_INTERVAL: Final = 0.5
+DISCOVERY_PAUSE: Final = 2.0
+DISCOVERY_PAUSE_LIMIT: Final = 30.0
 GROWTH: Final = 2
-RELAYS_READ: Final = 64
-GIVE_UP_BOUND: Final = 1.0
+RELAY_ENTRIES_READ: Final = 64
+RELEASE_TIMEOUT: Final = 1.0
 # Short, since a lost holder's slot stays taken for so long: a renewal each
 # 1.3 to 1.7 s at up to two slots of a failure domain.
 LEASE: Final = LeaseSettings(seconds=5, margin=1)
@@ -50,12 +50,12 @@
         self._store = store
         self._random = random
         self._journal = journal
-        self._pause = SEEK_AGAIN
-        self._sought = -SEEK_LIMIT
+        self._pause = DISCOVERY_PAUSE
+        self._sought = -DISCOVERY_PAUSE_LIMIT
         self._feed = StoreFeed(
             fleet,
             store,
-            FeedSettings(prefixes_of(fleet.settings.cluster)),
+            FeedSettings(make_configuration_prefixes(fleet.settings.cluster)),
             random,
             journal,
         )
@@ -65,54 +65,58 @@
 
         A slot that is held then is given up, so await it after cancelling.
         """
-        await asyncio.sleep(self._random.uniform(0, LOOK_AGAIN))
+        await asyncio.sleep(self._random.uniform(0, CHECK_INTERVAL))
         while True:
             await self._seek_peers()
             opened = find_open_slot(self._fleet.state.core)
             if opened is not None:
                 await self._take_turn(opened)
-            await asyncio.sleep(LOOK_AGAIN)
+            await asyncio.sleep(CHECK_INTERVAL)
 
     async def _seek_peers(self) -> None:
         """Read the relay entries while no peer is heard, ever less often."""
         if self._fleet.state.core.heard_links():
-            self._pause = SEEK_AGAIN
+            self._pause = DISCOVERY_PAUSE
             return
         now = monotonic()
         pause = self._pause * self._random.uniform(0.5, 1)
         if now - self._sought < pause:
             return
         self._sought = now
-        self._pause = min(self._pause * GROWTH, SEEK_LIMIT)
+        self._pause = min(self._pause * GROWTH, DISCOVERY_PAUSE_LIMIT)
         await self._offer_relays()
 
     async def _offer_relays(self) -> None:
         prefix = prefix_of(self._fleet.settings.cluster)
-        read = await self._store.read_range(prefix, '', RELAYS_READ)
+        read = await self._store.read_range(prefix, '', RELAY_ENTRIES_READ)
         if read.is_error():
-            self._feed.note_error(read.error)
+            self._feed.report_error(read.error)
             return
         for stored in read.ok.entries:
             address = parse_address(stored.payload.decode('utf-8', 'replace'))
             if address.is_ok():
-                self._fleet.state.offer_address(monotonic(), address.ok)
+                self._fleet.state.add_address(monotonic(), address.ok)
 
     async def _take_turn(self, opened: OpenSlot) -> None:
         """Wait for our turn; take the slot if it is still open."""
-        await asyncio.sleep(opened.wait + self._random.uniform(0, LOOK_AGAIN))
+        await asyncio.sleep(
+            opened.wait + self._random.uniform(0, CHECK_INTERVAL)
+        )
         again = find_open_slot(self._fleet.state.core)
         if again is None or again.slot != opened.slot:
             return
         key = prefix_of(self._fleet.settings.cluster) + opened.slot
         standing = await self._store.get(key)
         if standing.is_error():
-            self._feed.note_error(standing.error)
+            self._feed.report_error(standing.error)
         elif standing.ok is None:
             await self._hold(opened.slot, key)
         else:
             # Its holder is gone and the lease still runs, or it is not in
             # our view yet.
-            await asyncio.sleep(self._random.uniform(LOOK_AGAIN, SEEK_AGAIN))
+            await asyncio.sleep(
+                self._random.uniform(CHECK_INTERVAL, DISCOVERY_PAUSE)
+            )
 
     async def _hold(self, slot: str, key: str) -> None:
         keeper = LeaseKeeper(
@@ -141,7 +145,7 @@
         swapped = await self._store.swap((change,))
         if swapped.is_error() or not isinstance(swapped.ok, Accepted):
             return
-        self._fleet.state.hold_slot(slot)
+        self._fleet.state.set_relay_slot(slot)
         self._journal.record(Occurrence(EventCode.RELAY_STARTED, peer=slot))
         tasks = [
             asyncio.create_task(keeper.run()),
@@ -151,12 +155,12 @@
             await self._wait_for_loss(keeper, keeper.number)
         finally:
             await _end(tasks)
-            self._fleet.state.hold_slot('')
+            self._fleet.state.set_relay_slot('')
         self._journal.record(Occurrence(EventCode.RELAY_ENDED, peer=slot))
 
     async def _wait_for_loss(self, keeper: LeaseKeeper, number: int) -> None:
         while keeper.number == number:
-            await asyncio.sleep(LOOK_AGAIN)
+            await asyncio.sleep(CHECK_INTERVAL)
             await self._seek_lost()
 
     async def _seek_lost(self) -> None:
@@ -165,7 +169,7 @@
         So parts of a fleet that have lost each other's addresses meet again.
         """
         now = monotonic()
-        if now - self._sought >= SEEK_LIMIT:
+        if now - self._sought >= DISCOVERY_PAUSE_LIMIT:
             self._sought = now
             await self._offer_relays()
 
@@ -173,7 +177,7 @@
 async def _give_up(keeper: LeaseKeeper) -> None:
     """Free the slot, within a bounded time; else its lease lapses."""
     with suppress(TimeoutError):
-        async with asyncio.timeout(GIVE_UP_BOUND):
+        async with asyncio.timeout(RELEASE_TIMEOUT):
             await keeper.give_up()
 
 
--- a/hillfield/fleet/replication/anti_entropy.py
+++ b/hillfield/fleet/replication/anti_entropy.py
@@ -5,8 +5,8 @@
 
 from hillfield.configuration.entries import Entry
 from hillfield.fleet.core import Core, Subject
-from hillfield.fleet.handling import Source, react
-from hillfield.fleet.heartbeats import take_confirmation
+from hillfield.fleet.message_handlers import MessageSource, handle_message
+from hillfield.fleet.heartbeats import receive_confirmation
 from hillfield.fleet.messages import (
     Entries,
     Hashes,
@@ -17,48 +17,48 @@
     Versions,
     Want,
 )
-from hillfield.fleet.pages import pages_of
-from hillfield.fleet.peering.distance import is_dear
+from hillfield.fleet.pages import split_into_pages
+from hillfield.fleet.peering.cross_domain import is_cross_domain
 from hillfield.fleet.peering.link_table import Link
-from hillfield.fleet.replication.entry_spreading import note_offers
+from hillfield.fleet.replication.entry_dissemination import record_offers
 from hillfield.fleet.replication.summary import BUCKETS
 
-PATIENCE: Final = 2
+MISMATCHES_TOLERATED: Final = 2
 # Over a dear link news comes late by its gathering and is told by others
 # too: hashes that differ for 3 s are no mere delay.
-DEAR_PATIENCE: Final = 6
-REPAIR_AGAIN: Final = 3.0
-JOIN_AGAIN: Final = 0.5
-BUCKETS_AT_ONCE: Final = 16
+CROSS_DOMAIN_MISMATCHES: Final = 6
+COMPARE_INTERVAL: Final = 3.0
+JOIN_COMPARE_INTERVAL: Final = 0.5
+BUCKETS_PER_COMPARISON: Final = 16
 # Seconds between two comparisons of statements with any neighbours. While
 # nodes start, all neighbours differ from one another until the same news has
 # come over every link: each comparison then fetches what is under way.
-COMPARE_GAP: Final = 0.5
+STATE_COMPARE_GAP: Final = 0.5
 WANT_LIMIT: Final = 256
 
 
-@react.register
-def _(message: Heartbeat, core: Core, source: Source) -> None:
+@handle_message.register
+def _(message: Heartbeat, core: Core, source: MessageSource) -> None:
     link = source.link
     if link is None:
         return
     link.ready = message.ready
-    take_confirmation(core, source.now, link, message)
+    receive_confirmation(core, source.now, link, message)
     for subject, theirs in _subjects_of(message):
-        if theirs == core.summary_of(subject).total:
-            link.differences[subject] = 0
+        if theirs == core.get_summary(subject).total:
+            link.mismatches[subject] = 0
         else:
-            link.differences[subject] += 1
+            link.mismatches[subject] += 1
             _compare(core, source.now, link, subject)
-    if message.ready and not link.differences[Subject.ENTRIES]:
+    if message.ready and not link.mismatches[Subject.ENTRIES]:
         link.synced = True
 
 
-@react.register
-def _(message: Hashes, core: Core, source: Source) -> None:
+@handle_message.register
+def _(message: Hashes, core: Core, source: MessageSource) -> None:
     if source.link is None or len(message.buckets) != BUCKETS:
         return
-    summary = core.summary_of(message.subject)
+    summary = core.get_summary(message.subject)
     mine = summary.sums()
     first = int(source.now)
     turned = ((first + step) % BUCKETS for step in range(BUCKETS))
@@ -72,13 +72,13 @@
         )
 
 
-@react.register
-def _(message: Versions, core: Core, source: Source) -> None:
+@handle_message.register
+def _(message: Versions, core: Core, source: MessageSource) -> None:
     link = source.link
     if link is None or not 0 <= message.bucket < BUCKETS:
         return
     theirs = {row.key: row for row in message.versions}
-    summary = core.summary_of(message.subject)
+    summary = core.get_summary(message.subject)
     newer_here = tuple(
         mine
         for mine in summary.versions(message.bucket)
@@ -101,32 +101,36 @@
         )
 
 
-@react.register
-def _(message: Want, core: Core, source: Source) -> None:
+@handle_message.register
+def _(message: Want, core: Core, source: MessageSource) -> None:
     if source.link is not None:
         _give(core, source.link, message.subject, message.keys[:WANT_LIMIT])
 
 
 def _compare(core: Core, now: float, link: Link, subject: Subject) -> None:
     joining = not core.own.ready
-    wanted = DEAR_PATIENCE if is_dear(core, link) else PATIENCE
-    patient = joining or link.differences[subject] >= wanted
-    pause = JOIN_AGAIN if joining else REPAIR_AGAIN
-    if not link.up or not patient or now - link.repaired < pause:
+    wanted = (
+        CROSS_DOMAIN_MISMATCHES
+        if is_cross_domain(core, link)
+        else MISMATCHES_TOLERATED
+    )
+    patient = joining or link.mismatches[subject] >= wanted
+    pause = JOIN_COMPARE_INTERVAL if joining else COMPARE_INTERVAL
+    if not link.up or not patient or now - link.hashes_sent < pause:
         return
-    if subject == Subject.STATEMENTS:
-        if now - core.clock.compared < COMPARE_GAP:
+    if subject == Subject.STATE_UPDATES:
+        if now - core.times.hashes_sent < STATE_COMPARE_GAP:
             return
-        core.clock.compared = now
-    link.differences[subject] = 1
-    if subject == Subject.ENTRIES or not link.differences[Subject.ENTRIES]:
-        link.repaired = now
+        core.times.hashes_sent = now
+    link.mismatches[subject] = 1
+    if subject == Subject.ENTRIES or not link.mismatches[Subject.ENTRIES]:
+        link.hashes_sent = now
     core.outbox.send(
         link.address,
         Hashes(
             subject,
-            core.summary_of(subject).sums(),
-            BUCKETS if joining else BUCKETS_AT_ONCE,
+            core.get_summary(subject).sums(),
+            BUCKETS if joining else BUCKETS_PER_COMPARISON,
         ),
     )
 
@@ -144,8 +148,8 @@
     fresh node at once.
     """
     for mine in ours:
-        core.outbox.announce(link.address, mine)
-    note_offers(core, now, link, theirs)
+        core.outbox.queue_offer(link.address, mine)
+    record_offers(core, now, link, theirs)
 
 
 def _is_newer(mine: Version, theirs: Version | None) -> bool:
@@ -165,10 +169,10 @@
 ) -> None:
     limit = core.settings.page_limit
     if subject == Subject.ENTRIES:
-        for entries in pages_of(tuple(_entries(core, keys)), limit):
+        for entries in split_into_pages(tuple(_entries(core, keys)), limit):
             core.outbox.send(link.address, Entries(entries))
         return
-    for statements in pages_of(tuple(_statements(core, keys)), limit):
+    for statements in split_into_pages(tuple(_statements(core, keys)), limit):
         core.outbox.send(link.address, Statements(statements))
 
 
@@ -181,7 +185,7 @@
 
 def _statements(core: Core, keys: tuple[str, ...]) -> Iterator[Statement]:
     for key in keys:
-        statement = core.book.find(key)
+        statement = core.book.get_by_key(key)
         if statement is not None:
             yield statement
 
@@ -189,6 +193,6 @@
 def _subjects_of(message: Heartbeat) -> tuple[tuple[Subject, int], ...]:
     """Return the hash of each subject."""
     return (
-        (Subject.STATEMENTS, message.statements),
-        (Subject.ENTRIES, message.entries),
+        (Subject.STATE_UPDATES, message.state_hash),
+        (Subject.ENTRIES, message.entries_hash),
     )
--- a/hillfield/fleet/replication/entry_spreading.py
+++ b/hillfield/fleet/replication/entry_dissemination.py
@@ -6,24 +6,24 @@
 
 from hillfield.configuration.entries import Entry
 from hillfield.events import EventCode
-from hillfield.fleet.core import Core, Subject, Way
-from hillfield.fleet.handling import Source, react
-from hillfield.fleet.heartbeats import confirm_by
+from hillfield.fleet.core import Core, Subject, EntrySource
+from hillfield.fleet.message_handlers import MessageSource, handle_message
+from hillfield.fleet.heartbeats import confirm_from_link
 from hillfield.fleet.messages import Entries, Have, Version, Want
-from hillfield.fleet.peering.distance import is_dear
+from hillfield.fleet.peering.cross_domain import is_cross_domain
 from hillfield.fleet.peering.link_table import Link
 from hillfield.model import Address
 
 # Seconds that an entry offered by another failure domain is left to the
 # domain's own followers of the store: they hear of it within 0.05 s.
-DEAR_WAIT: Final = 0.25
+CROSS_DOMAIN_PULL_DELAY: Final = 0.25
 
 
-def adopt(
+def adopt_entry(
     core: Core,
     entry: Entry,
     source: Link | None,
-    way: Way = Way.NEIGHBOUR,
+    way: EntrySource = EntrySource.NEIGHBOUR,
 ) -> bool:
     """Adopt an entry and announce it; an older one is refused."""
     if not core.ledger.adopt(entry):
@@ -37,11 +37,11 @@
     version = Version(entry.key, 0, entry.revision)
     for link in core.links:
         if link.up and link is not source:
-            core.outbox.announce(link.address, version)
+            core.outbox.queue_offer(link.address, version)
     return True
 
 
-def note_offers(
+def record_offers(
     core: Core,
     now: float,
     link: Link,
@@ -52,32 +52,34 @@
     Over a dear link a pull waits until this domain's own followers of the
     store would have told the entry.
     """
-    earliest = now + DEAR_WAIT if is_dear(core, link) else -inf
+    earliest = (
+        now + CROSS_DOMAIN_PULL_DELAY if is_cross_domain(core, link) else -inf
+    )
     for version in versions:
-        core.ledger.note_offer(link.address, version, earliest)
+        core.ledger.record_offer(link.address, version, earliest)
 
 
-def pull(core: Core, now: float) -> None:
+def request_missing_entries(core: Core, now: float) -> None:
     """Ask for what is known to be missing, within the window."""
-    if not core.ledger.lacking:
+    if not core.ledger.missing_count:
         return
     peers = tuple(link.address for link in core.heard_links())
     asked: dict[Address, list[str]] = defaultdict(list)
-    for missing in core.ledger.due(now, peers):
+    for missing in core.ledger.select_pulls(now, peers):
         asked[missing.peer].append(missing.version.key)
     for peer, keys in asked.items():
         core.outbox.send(peer, Want(Subject.ENTRIES, tuple(keys)))
 
 
-@react.register
-def _(message: Have, core: Core, source: Source) -> None:
+@handle_message.register
+def _(message: Have, core: Core, source: MessageSource) -> None:
     if source.link is not None:
-        note_offers(core, source.now, source.link, message.versions)
+        record_offers(core, source.now, source.link, message.versions)
 
 
-@react.register
-def _(message: Entries, core: Core, source: Source) -> None:
+@handle_message.register
+def _(message: Entries, core: Core, source: MessageSource) -> None:
     for entry in message.entries:
-        adopt(core, entry, source.link)
+        adopt_entry(core, entry, source.link)
     for link in core.links:
-        confirm_by(core, source.now, link)
+        confirm_from_link(core, source.now, link)
--- a/hillfield/fleet/replication/ledger.py
+++ b/hillfield/fleet/replication/entry_index.py
@@ -12,7 +12,7 @@
 from hillfield.model import Address
 
 PULL_WINDOW: Final = 32
-PULL_TRIES: Final = 6
+PULL_ATTEMPTS: Final = 6
 OFFERS_KEPT: Final = 16
 MISSING_LIMIT: Final = 8192
 
@@ -30,17 +30,17 @@
         """Return the entry of a key."""
 
 
-class Missing(Struct, frozen=True):
+class MissingEntry(Struct, frozen=True):
     """Hold that peers have a newer revision of a key than we.
 
     `offers` are those that told so, `tried` those that were asked: the first
-    no sooner than `earliest`, another one some time after `asked`.
+    no sooner than `earliest`, another one some time after `requested`.
     """
 
     version: Version
     offers: tuple[Address, ...]
     earliest: float = -inf
-    asked: float = -inf
+    requested: float = -inf
     tried: tuple[Address, ...] = ()
 
     @property
@@ -48,7 +48,7 @@
         """Return whom to ask, or who was asked last."""
         return self.tried[-1] if self.tried else self.offers[0]
 
-    def add(self, peer: Address, earliest: float) -> 'Missing':
+    def add_offer(self, peer: Address, earliest: float) -> 'MissingEntry':
         """Take one more offer, first if it may be taken up sooner."""
         if earliest < self.earliest:
             others = tuple(other for other in self.offers if other != peer)
@@ -60,11 +60,11 @@
 
     def is_due(self, now: float, pull_again: float) -> bool:
         """Tell whether it may be asked for now."""
-        waited = now - self.asked >= pull_again
+        waited = now - self.requested >= pull_again
         return waited and now >= self.earliest
 
 
-class EntryLedger:
+class EntryIndex:
     """Guard a store of entries: a key's revision only ever grows."""
 
     def __init__(self, store: EntryStore, pull_again: float) -> None:
@@ -74,13 +74,13 @@
         """
         self._pull_again = pull_again
         self.summary = Summary()
-        self.newest = 0
+        self.newest_revision = 0
         self._store = store
-        self._missing: dict[str, Missing] = {}
+        self._missing: dict[str, MissingEntry] = {}
         self._adopted: list[Entry] = []
 
     @property
-    def lacking(self) -> int:
+    def missing_count(self) -> int:
         """Return how many entries are known to be missing."""
         return len(self._missing)
 
@@ -122,14 +122,14 @@
             self._missing.pop(entry.key, None)
             return False
         self.summary.put(Version(entry.key, 0, entry.revision))
-        self.newest = max(self.newest, entry.revision)
+        self.newest_revision = max(self.newest_revision, entry.revision)
         self._adopted.append(entry)
         missing = self._missing.get(entry.key)
         if missing and missing.version.version <= entry.revision:
             self._missing.pop(entry.key)
         return True
 
-    def note_offer(
+    def record_offer(
         self,
         peer: Address,
         version: Version,
@@ -141,7 +141,7 @@
         """
         missing = self._missing.get(version.key)
         if missing and missing.version.version == version.version:
-            self._missing[version.key] = missing.add(peer, earliest)
+            self._missing[version.key] = missing.add_offer(peer, earliest)
             return
         known = self.revision_of(version.key)
         if missing:
@@ -151,13 +151,15 @@
             version.version,
         )
         if news and len(self._missing) < MISSING_LIMIT:
-            self._missing[version.key] = Missing(version, (peer,), earliest)
+            self._missing[version.key] = MissingEntry(
+                version, (peer,), earliest
+            )
 
-    def due(
+    def select_pulls(
         self,
         now: float,
         peers: tuple[Address, ...],
-    ) -> tuple[Missing, ...]:
+    ) -> tuple[MissingEntry, ...]:
         """Return what to pull now; a bounded window at a time.
 
         What a peer didn't send in time is asked of the next of `peers`.
@@ -166,7 +168,7 @@
         for key, missing in tuple(self._missing.items())[:PULL_WINDOW]:
             if not missing.is_due(now, self._pull_again):
                 continue
-            if len(missing.tried) >= PULL_TRIES or not peers:
+            if len(missing.tried) >= PULL_ATTEMPTS or not peers:
                 self._missing.pop(key)
                 continue
             turned = self._ask(now, missing, peers)
@@ -174,7 +176,7 @@
             pulled.append(turned)
         return tuple(pulled)
 
-    def take_adopted(self) -> tuple[Entry, ...]:
+    def pop_adopted(self) -> tuple[Entry, ...]:
         """Return the entries adopted since the last call."""
         adopted = tuple(self._adopted)
         self._adopted.clear()
@@ -187,14 +189,14 @@
     def _ask(
         self,
         now: float,
-        missing: Missing,
+        missing: MissingEntry,
         peers: tuple[Address, ...],
-    ) -> Missing:
+    ) -> MissingEntry:
         offers = (peer for peer in missing.offers if peer in peers)
         turns = tuple(dict.fromkeys((*offers, *peers)))
         untried = (peer for peer in turns if peer not in missing.tried)
         return replace(
             missing,
-            asked=now,
+            requested=now,
             tried=(*missing.tried, next(untried, turns[0])),
         )
--- a/hillfield/fleet/replication/summary.py
+++ b/hillfield/fleet/replication/summary.py
@@ -9,14 +9,14 @@
 BUCKETS: Final = 64
 
 
-def hash_of(text: str) -> int:
+def hash_text(text: str) -> int:
     """Return a hash that all nodes agree on."""
     return xxh3_64_intdigest(text.encode())
 
 
-def bucket_of(key: str) -> int:
+def compute_bucket(key: str) -> int:
     """Return the bucket of a key."""
-    return hash_of(key) % BUCKETS
+    return hash_text(key) % BUCKETS
 
 
 class Summary:
@@ -47,20 +47,20 @@
     def put(self, version: Version) -> None:
         """Take a key's version in place of an earlier one."""
         self.drop(version.key)
-        bucket = bucket_of(version.key)
+        bucket = compute_bucket(version.key)
         self._versions[bucket][version.key] = version
         self._mix(bucket, version)
 
     def drop(self, key: str) -> None:
         """Leave a key out."""
-        bucket = bucket_of(key)
+        bucket = compute_bucket(key)
         version = self._versions[bucket].pop(key, None)
         if version is not None:
             self._mix(bucket, version)
 
     def get(self, key: str) -> Version | None:
         """Return the version of a key."""
-        return self._versions[bucket_of(key)].get(key)
+        return self._versions[compute_bucket(key)].get(key)
 
     def keys(self) -> tuple[str, ...]:
         """Return all keys."""
@@ -75,7 +75,7 @@
         return tuple(self._versions[bucket].values())
 
     def _mix(self, bucket: int, version: Version) -> None:
-        mixed = hash_of(
+        mixed = hash_text(
             f'{version.key}|{version.incarnation}|{version.version}',
         )
         self._sums[bucket] ^= mixed
--- a/hillfield/fleet/service.py
+++ b/hillfield/fleet/service.py
@@ -17,7 +17,7 @@
     Dial,
     Effect,
     Event,
-    HangUp,
+    Disconnect,
     Refused,
     Report,
     SendTo,
@@ -25,14 +25,14 @@
 )
 from hillfield.fleet.envelope import Codec, StampSource
 from hillfield.fleet.findings import NodeEvidence
-from hillfield.fleet.replication.ledger import EntryStore
+from hillfield.fleet.replication.entry_index import EntryStore
 from hillfield.fleet.settings import FleetSettings
 from hillfield.fleet.state import FleetState
 from hillfield.link import LinkError, LinkLayer, LinkSettings
 from hillfield.model import Address, Target
 from hillfield.timers import Appointment, find_timer
 
-LAST_WORDS: Final = 0.2
+GOODBYE_DELAY: Final = 0.2
 
 
 class FleetListeners(Struct, frozen=True):
@@ -43,7 +43,7 @@
     entry_adopted: Callable[[Entry], None]
 
 
-class Performer:
+class EffectRunner:
     """Do effects on links and journal; `incarnation` seals the messages."""
 
     def __init__(
@@ -59,24 +59,24 @@
         self._journal = journal
 
     @singledispatchmethod
-    def perform(self, effect: Effect) -> None:
+    def run(self, effect: Effect) -> None:
         """Do one effect."""
         raise TypeError(type(effect).__name__)
 
-    @perform.register
+    @run.register
     def _(self, effect: SendTo) -> None:
         sealed = self._codec.seal(effect.message, self.incarnation)
         self._links.send(effect.peer, sealed)
 
-    @perform.register
+    @run.register
     def _(self, effect: Dial) -> None:
         self._links.dial(effect.peer)
 
-    @perform.register
-    def _(self, effect: HangUp) -> None:
-        self._links.hang_up(effect.peer)
+    @run.register
+    def _(self, effect: Disconnect) -> None:
+        self._links.disconnect(effect.peer)
 
-    @perform.register
+    @run.register
     def _(self, effect: Report) -> None:
         self._journal.record(effect.occurrence)
 
@@ -108,7 +108,7 @@
         self._codec = Codec(settings, clock)
         self._listeners = listeners
         self._journal = journal
-        self._performer = Performer(self.links, self._codec, journal)
+        self._performer = EffectRunner(self.links, self._codec, journal)
         self._ticking: Appointment | None = None
 
     async def start(self) -> Result[Address, LinkError]:
@@ -139,7 +139,7 @@
         if self._ticking is not None:
             self._ticking.cancel()
             self._perform(self.state.leave(monotonic()))
-            await asyncio.sleep(LAST_WORDS)
+            await asyncio.sleep(GOODBYE_DELAY)
         self.links.close()
 
     def abandon(self) -> None:
@@ -160,35 +160,37 @@
         """Adopt an entry that the store accepted and spread it."""
         return self.state.submit(entry)
 
-    def take(self, event: Event) -> None:
+    def handle_event(self, event: Event) -> None:
         """Take an event into the state and do what follows from it."""
-        self._perform(self.state.take(monotonic(), event))
+        self._perform(self.state.handle_event(monotonic(), event))
         self._tell()
 
     def _tick(self) -> None:
-        self.take(Ticked())
+        self.handle_event(Ticked())
 
     def _receive(self, sealed: bytes) -> None:
         match self._codec.open(sealed):
             case Result(tag='ok', ok=received):
-                self.take(received)
+                self.handle_event(received)
             case Result(tag='error', error=reason):
-                self.take(Refused(reason))
+                self.handle_event(Refused(reason))
 
     def _perform(self, effects: tuple[Effect, ...]) -> None:
         self._performer.incarnation = self.state.core.own.incarnation
         for effect in effects:
-            self._performer.perform(effect)
+            self._performer.run(effect)
 
     def _tell(self) -> None:
         core = self.state.core
-        for service in core.view.take_changed():
+        for service in core.view.pop_changed():
             self._listeners.targets_changed(
                 service,
                 core.view.targets_of(service),
             )
-        for node in core.findings.take_changed():
+        for node in core.findings.pop_changed():
             if node != self.settings.name:
-                self._listeners.evidence_changed(core.findings.of_node(node))
-        for entry in core.ledger.take_adopted():
+                self._listeners.evidence_changed(
+                    core.findings.get_evidence(node)
+                )
+        for entry in core.ledger.pop_adopted():
             self._listeners.entry_adopted(entry)
--- a/hillfield/fleet/slots.py
+++ b/hillfield/fleet/slots.py
@@ -5,11 +5,11 @@
 from msgspec import Struct
 
 from hillfield.fleet.core import Core
-from hillfield.fleet.replication.summary import hash_of
+from hillfield.fleet.replication.summary import hash_text
 
-SLOTS: Final = 2
-TURN: Final = 1.0
-TURNS: Final = 8
+SLOTS_PER_DOMAIN: Final = 2
+CLAIM_STAGGER: Final = 1.0
+MAX_STAGGER_STEPS: Final = 8
 
 
 class OpenSlot(Struct, frozen=True):
@@ -28,10 +28,10 @@
     return f'/hillfield/{cluster}/relays/'
 
 
-def prefixes_of(cluster: str) -> tuple[str, str]:
+def make_configuration_prefixes(cluster: str) -> tuple[str, str]:
     """Return what the keys of the configuration start with.
 
-    >>> prefixes_of('north')[0]
+    >>> make_configuration_prefixes('north')[0]
     '/hillfield/north/templates/'
     """
     base = f'/hillfield/{cluster}'
@@ -52,7 +52,7 @@
         if name in core.book.alive and record.locality.failure_domain == domain
     ]
     held = {record.relay_of for record in peers}
-    slots = (f'{domain}/{number}' for number in range(SLOTS))
+    slots = (f'{domain}/{number}' for number in range(SLOTS_PER_DOMAIN))
     opened = next((slot for slot in slots if slot not in held), None)
     if opened is None or core.own.record.relay_of:
         return None
@@ -62,10 +62,10 @@
 
 def rank_of(slot: str, name: str) -> int:
     """Return a node's rank for a slot, alike at all nodes; the least wins."""
-    return hash_of(f'{slot}>{name}')
+    return hash_text(f'{slot}>{name}')
 
 
 def _turn_of(own_name: str, slot: str, rivals: list[str]) -> float:
     mine = rank_of(slot, own_name)
     before = sum(rank_of(slot, rival) < mine for rival in rivals)
-    return min(before, TURNS) * TURN
+    return min(before, MAX_STAGGER_STEPS) * CLAIM_STAGGER
--- a/hillfield/fleet/book.py
+++ b/hillfield/fleet/state_table.py
@@ -7,19 +7,19 @@
 from hillfield.fleet.records import Kind, NodeRecord, RecordCodec
 from hillfield.fleet.replication.summary import Summary
 
-SUMMED = frozenset((Kind.MEMBER, Kind.TARGETS))
+SUMMARIZED_KINDS = frozenset((Kind.MEMBER, Kind.TARGETS))
 
 
-def key_of(kind: str, name: str) -> str:
+def make_update_key(kind: str, name: str) -> str:
     """Return the key under which a statement is summed up.
 
-    >>> key_of('m', 'node-1')
+    >>> make_update_key('m', 'node-1')
     'mnode-1'
     """
     return f'{kind}{name}'
 
 
-def reachable(
+def find_reachable(
     records: Mapping[str, NodeRecord],
     root: str,
 ) -> frozenset[str]:
@@ -32,7 +32,7 @@
     waiting = deque((root,))
     while waiting:
         record = records.get(waiting.popleft())
-        heard = () if record is None else record.hears
+        heard = () if record is None else record.receives_from
         fresh = [
             name for name in heard if name in records and name not in reached
         ]
@@ -41,7 +41,7 @@
     return frozenset(reached)
 
 
-class StatementBook:
+class StateTable:
     """Hold the newest statement of each kind and name."""
 
     def __init__(self, codec: RecordCodec) -> None:
@@ -49,7 +49,7 @@
         self.records: dict[str, NodeRecord] = {}
         self.summary = Summary()
         self.alive: frozenset[str] = frozenset()
-        self.stale = False
+        self.members_stale = False
         self.held_bytes = 0
         self._codec = codec
         self._held: dict[str, Statement] = {}
@@ -60,9 +60,9 @@
 
     def get(self, kind: str, name: str) -> Statement | None:
         """Return what a node said last."""
-        return self._held.get(key_of(kind, name))
+        return self._held.get(make_update_key(kind, name))
 
-    def find(self, key: str) -> Statement | None:
+    def get_by_key(self, key: str) -> Statement | None:
         """Return a statement by its key."""
         return self._held.get(key)
 
@@ -75,7 +75,7 @@
 
     def accept(self, statement: Statement) -> bool:
         """Take a statement if it is newer than what is held."""
-        key = key_of(statement.kind, statement.name)
+        key = make_update_key(statement.kind, statement.name)
         if not self.is_newer(key, statement.incarnation, statement.version):
             return False
         if statement.kind == Kind.MEMBER and not self._read(statement):
@@ -87,24 +87,26 @@
             self._sum_up(statement)
         return True
 
-    def refresh(self, root: str) -> frozenset[str]:
+    def refresh_alive(self, root: str) -> frozenset[str]:
         """Find anew who is alive; return the names that changed."""
-        self.stale = False
+        self.members_stale = False
         before = self.alive
-        self.alive = reachable(self.records, root)
+        self.alive = find_reachable(self.records, root)
         changed = before ^ self.alive
         for statement in self._statements_of(changed):
             if statement.name in self.alive:
                 self._sum_up(statement)
             else:
-                self.summary.drop(key_of(statement.kind, statement.name))
+                self.summary.drop(
+                    make_update_key(statement.kind, statement.name)
+                )
         return changed
 
     def forget(self, name: str) -> None:
         """Drop all that a lost node said."""
         self.records.pop(name, None)
         for kind in Kind:
-            key = key_of(kind, name)
+            key = make_update_key(kind, name)
             self._drop(key)
             self.summary.drop(key)
 
@@ -118,14 +120,14 @@
         if record is None or record.name != statement.name:
             return False
         before = self.records.get(statement.name)
-        if before is None or before.hears != record.hears:
-            self.stale = True
+        if before is None or before.receives_from != record.receives_from:
+            self.members_stale = True
         self.records[statement.name] = record
         return True
 
     def _sum_up(self, statement: Statement) -> None:
-        if statement.kind in SUMMED:
-            key = key_of(statement.kind, statement.name)
+        if statement.kind in SUMMARIZED_KINDS:
+            key = make_update_key(statement.kind, statement.name)
             self.summary.put(
                 Version(key, statement.incarnation, statement.version),
             )
--- a/hillfield/fleet/feeding.py
+++ b/hillfield/fleet/store_submission.py
@@ -2,13 +2,15 @@
 
 from hillfield.configuration.entries import Entry
 from hillfield.events import EventCode
-from hillfield.fleet.core import Way
+from hillfield.fleet.core import EntrySource
 from hillfield.fleet.state import FleetState
 from hillfield.store.paging import Snapshot
 from hillfield.store.ports import StoredValue
 
 
-def feed_value(state: FleetState, stored: StoredValue, way: Way) -> bool:
+def submit_value(
+    state: FleetState, stored: StoredValue, way: EntrySource
+) -> bool:
     """Submit one stored value; False when it is no news."""
     return state.submit(
         Entry(stored.key, stored.revision, stored.payload),
@@ -16,7 +18,7 @@
     )
 
 
-def feed_snapshot(
+def submit_snapshot(
     state: FleetState,
     prefix: str,
     snapshot: Snapshot,
@@ -37,9 +39,11 @@
         )
     present = {stored.key for stored in snapshot.entries}
     for stored in snapshot.entries:
-        feed_value(state, stored, Way.READING)
+        submit_value(state, stored, EntrySource.READING)
     for key in core.ledger.keys_under(prefix):
         if key not in present:
             # A key that was written after the snapshot has a higher
             # revision, which refuses this deletion.
-            state.submit(Entry(key, snapshot.revision, b''), Way.READING)
+            state.submit(
+                Entry(key, snapshot.revision, b''), EntrySource.READING
+            )
--- a/hillfield/fleet/tests/test_dear_links.py
+++ b/hillfield/fleet/tests/test_cross_domain_links.py
@@ -8,7 +8,9 @@
 from hillfield.fleet.envelope import Codec
 from hillfield.fleet.mesh import Mesh
 from hillfield.fleet.messages import Entries, Statements, Version, Want
-from hillfield.fleet.replication.entry_spreading import DEAR_WAIT
+from hillfield.fleet.replication.entry_dissemination import (
+    CROSS_DOMAIN_PULL_DELAY,
+)
 from hillfield.fleet.settings import FleetSettings
 from hillfield.model import Address, Locality, Target, TargetId
 
@@ -92,7 +94,7 @@
     state.dial(mesh.now, settings_of(domain, 0).link)
     number = int(settings.name[1:])
     if number < HOLDERS:
-        state.hold_slot(f'{domain}/{number}')
+        state.set_relay_slot(f'{domain}/{number}')
         for far in DOMAINS:
             if far != domain:
                 state.dial(mesh.now, settings_of(far, number).link)
@@ -166,8 +168,10 @@
     ledger = mesh.states[ALL[0].link].core.ledger
     near = ALL[1].link
     far = ALL[-1].link
-    ledger.note_offer(far, Version('/k', 0, 7), mesh.now + DEAR_WAIT)
-    assert not ledger.due(mesh.now, (near, far))
-    ledger.note_offer(near, Version('/k', 0, 7))
-    pulled = ledger.due(mesh.now, (near, far))
+    ledger.record_offer(
+        far, Version('/k', 0, 7), mesh.now + CROSS_DOMAIN_PULL_DELAY
+    )
+    assert not ledger.select_pulls(mesh.now, (near, far))
+    ledger.record_offer(near, Version('/k', 0, 7))
+    pulled = ledger.select_pulls(mesh.now, (near, far))
     assert [missing.peer for missing in pulled] == [near]
--- a/hillfield/fleet/tests/test_fuzz.py
+++ b/hillfield/fleet/tests/test_fuzz.py
@@ -13,11 +13,11 @@
 )
 
 from hillfield.configuration.entries import Entry
-from hillfield.fleet.book import StatementBook
+from hillfield.fleet.state_table import StateTable
 from hillfield.fleet.mesh import TICK, Mesh
 from hillfield.fleet.messages import Version
 from hillfield.fleet.records import Kind
-from hillfield.fleet.replication.ledger import EntryLedger
+from hillfield.fleet.replication.entry_index import EntryIndex
 from hillfield.fleet.replication.summary import Summary
 from hillfield.fleet.settings import FleetSettings
 from hillfield.model import Address, Locality, Target, TargetId
@@ -114,10 +114,10 @@
 
     @rule(lost=st.sampled_from((0, 0.2, 0.6)), shuffled=st.booleans())
     def change_weather(self, lost, shuffled):
-        weather = replace(self.mesh.weather, lost=lost, doubled=lost / 2)
-        weather.late = lost
+        weather = replace(self.mesh.faults, loss=lost, duplication=lost / 2)
+        weather.delay = lost
         weather.shuffled = shuffled
-        self.mesh.weather = weather
+        self.mesh.faults = weather
 
     @rule(address=node, key=key_letter)
     def accept(self, address, key):
@@ -140,7 +140,7 @@
         if address not in self.mesh.paused:
             for entry in self.accepted.values():
                 self.mesh.states[address].submit(entry)
-            self.mesh.states[address].note_loaded()
+            self.mesh.states[address].mark_loaded()
 
     @invariant()
     def nothing_reverts(self):
@@ -240,7 +240,7 @@
 
 
 def take_other(book, key, incarnation, version):
-    held = book.find(key)
+    held = book.get_by_key(key)
     if held is None:
         return True
     return (incarnation, version) != (held.incarnation, held.version)
@@ -250,8 +250,8 @@
 @pytest.mark.parametrize(
     ('owner', 'method', 'fault', 'reason'),
     [
-        (EntryLedger, 'adopt', adopt_any, 'entry . reverted'),
-        (StatementBook, 'is_newer', take_other, 'member .* reverted'),
+        (EntryIndex, 'adopt', adopt_any, 'entry . reverted'),
+        (StateTable, 'is_newer', take_other, 'member .* reverted'),
         (Summary, 'sums', lambda _: (0,) * 64, 'not converged'),
     ],
     ids=['older revision', 'older record', 'no digests'],
--- a/hillfield/fleet/tests/test_introductions.py
+++ b/hillfield/fleet/tests/test_peer_discovery.py
@@ -8,7 +8,7 @@
 from expression import Error, Ok
 from pytest import fixture
 
-from hillfield.fleet.introductions import Introductions
+from hillfield.fleet.peer_discovery import PeerDiscovery
 from hillfield.model import Address, Locality
 from hillfield.store.ports import (
     Accepted,
@@ -79,9 +79,9 @@
                 dial=lambda now, link: dialled.append(link),
             ),
         )
-        feed: Any = SimpleNamespace(note_error=lambda error: None)
-        meeting = Introductions(fleet, store, feed, Random(1))
-        return run(meeting.introduce()), dialled
+        feed: Any = SimpleNamespace(report_error=lambda error: None)
+        meeting = PeerDiscovery(fleet, store, feed, Random(1))
+        return run(meeting.join()), dialled
 
     return begin
 
--- a/hillfield/fleet/tests/test_pulls.py
+++ b/hillfield/fleet/tests/test_pulls.py
@@ -2,7 +2,7 @@
 
 from hillfield.fleet.mesh import MemoryStore
 from hillfield.fleet.messages import Version
-from hillfield.fleet.replication.ledger import EntryLedger
+from hillfield.fleet.replication.entry_index import EntryIndex
 from hillfield.model import Address
 
 KILLED = Address('10.0.0.1', 7380)
@@ -15,33 +15,33 @@
 
     The peer that had told of it was killed, and the next was asked after 2 s.
     """
-    ledger = EntryLedger(MemoryStore(), AGAIN)
-    ledger.note_offer(KILLED, Version('routes', 0, 62))
-    first = ledger.due(10, (KILLED, ALIVE))
+    ledger = EntryIndex(MemoryStore(), AGAIN)
+    ledger.record_offer(KILLED, Version('routes', 0, 62))
+    first = ledger.select_pulls(10, (KILLED, ALIVE))
     assert [missing.peer for missing in first] == [KILLED]
-    assert not ledger.due(10.3, (ALIVE,))
-    second = ledger.due(10.5, (ALIVE,))
+    assert not ledger.select_pulls(10.3, (ALIVE,))
+    second = ledger.select_pulls(10.5, (ALIVE,))
     assert [missing.peer for missing in second] == [ALIVE]
 
 
 def ask(ledger, peers, *moments):
     """Return who is asked for one entry at each of the moments."""
-    return [ledger.due(now, peers)[0].peer for now in moments]
+    return [ledger.select_pulls(now, peers)[0].peer for now in moments]
 
 
 def test_who_offered_a_change_is_asked_before_who_may_not_have_it():
     told_nothing = tuple(Address('10.0.1.1', port) for port in range(5))
     peers = (*told_nothing, KILLED, ALIVE)
-    ledger = EntryLedger(MemoryStore(), AGAIN)
+    ledger = EntryIndex(MemoryStore(), AGAIN)
     for peer in (KILLED, ALIVE):
-        ledger.note_offer(peer, Version('routes', 0, 62))
+        ledger.record_offer(peer, Version('routes', 0, 62))
     asked = ask(ledger, peers, 10, 10.5, 11)
     assert asked == [KILLED, ALIVE, told_nothing[0]]
 
 
 def test_an_offer_that_may_be_taken_up_sooner_goes_first():
-    ledger = EntryLedger(MemoryStore(), AGAIN)
-    ledger.note_offer(KILLED, Version('routes', 0, 62), earliest=10.2)
-    ledger.note_offer(ALIVE, Version('routes', 0, 62))
+    ledger = EntryIndex(MemoryStore(), AGAIN)
+    ledger.record_offer(KILLED, Version('routes', 0, 62), earliest=10.2)
+    ledger.record_offer(ALIVE, Version('routes', 0, 62))
     asked = ask(ledger, (KILLED, ALIVE), 10, 10.5)
     assert asked == [ALIVE, KILLED]
--- a/hillfield/fleet/tests/test_relay.py
+++ b/hillfield/fleet/tests/test_relay.py
@@ -6,7 +6,7 @@
 from hillfield.emulator.store_memory import MemoryStore as StandIn
 from hillfield.events import EventCode, ListJournal
 from hillfield.fleet import Fleet, FleetListeners, FleetSettings
-from hillfield.fleet.feeding import feed_snapshot
+from hillfield.fleet.store_submission import submit_snapshot
 from hillfield.fleet.mesh import MemoryStore
 from hillfield.fleet.relay import Relay
 from hillfield.fleet.slots import find_open_slot
@@ -126,13 +126,13 @@
 def test_snapshot_deletes_what_it_lacks_but_nothing_newer(revision):
     state = FleetState(settings_of('one'), MemoryStore())
     prefix = '/hillfield/north/templates/'
-    feed_snapshot(
+    submit_snapshot(
         state,
         prefix,
         Snapshot(5, (StoredValue(KEY, 5, b'kept'),)),
         known=0,
     )
-    feed_snapshot(state, prefix, Snapshot(revision, ()), known=5)
+    submit_snapshot(state, prefix, Snapshot(revision, ()), known=5)
     held = state.core.ledger.entry(KEY)
     assert held is not None
     deleted = held.payload == b''
@@ -144,5 +144,5 @@
     state = FleetState(settings_of('one'), MemoryStore())
     opened = find_open_slot(state.core)
     assert opened is not None and opened.slot == 'd/0'
-    state.hold_slot('d/0')
+    state.set_relay_slot('d/0')
     assert find_open_slot(state.core) is None
--- a/hillfield/fleet/tests/test_robustness.py
+++ b/hillfield/fleet/tests/test_robustness.py
@@ -31,10 +31,10 @@
     Want,
 )
 from hillfield.fleet.records import Kind, NodeRecord, RecordCodec, TargetRow
-from hillfield.fleet.statements import (
+from hillfield.fleet.state_updates import (
     HELD_BYTES_LIMIT,
     PAYLOAD_LIMIT,
-    take_in,
+    receive_update,
 )
 from hillfield.model import Address, Locality, TargetState
 
@@ -74,7 +74,7 @@
     address,
     address,
     address,
-    hears=names,
+    receives_from=names,
     relay_of=word,
 )
 counts = (number,) * 4
@@ -110,13 +110,15 @@
 def take_all(state, letters):
     """Take in all, and code what the state answers, as its links would."""
     codec = Codec(state.core.settings)
-    now = state.core.clock.ticked
+    now = state.core.times.ticked
     for received in letters:
         now += 0.3
         body = Body(received.sender, received.incarnation, received.message)
         opened = codec.open(seal(codec, encode(body)))
         event = opened.ok if opened.is_ok() else Refused(opened.error)
-        for effect in state.take(now, event) + state.take(now, Ticked()):
+        for effect in state.handle_event(now, event) + state.handle_event(
+            now, Ticked()
+        ):
             if isinstance(effect, SendTo):
                 codec.seal(effect.message, state.core.own.incarnation)
 
@@ -173,7 +175,7 @@
     heavy = bytes(PAYLOAD_LIMIT)
     for foreign in range(1000):
         name = f'foreign-{foreign}'
-        take_in(
+        receive_update(
             core,
             START,
             Statement(Kind.EVIDENCE, name, 1, 1, heavy),
@@ -182,10 +184,10 @@
     assert core.book.held_bytes < HELD_BYTES_LIMIT + PAYLOAD_LIMIT
     assert core.counts['no-room'] > 400
     newer = targets_statement(core.codec, 2, 2)
-    take_in(core, START, replace(newer, version=2), None)
+    receive_update(core, START, replace(newer, version=2), None)
     assert len(core.view.targets()) == NODES
-    core.lost = dict.fromkeys(core.lost, 0)
-    state.take(core.clock.ticked, Ticked())
+    core.lost_since = dict.fromkeys(core.lost_since, 0)
+    state.handle_event(core.times.ticked, Ticked())
     assert core.book.held_bytes < PAYLOAD_LIMIT
 
 
--- a/hillfield/fleet/tests/test_state.py
+++ b/hillfield/fleet/tests/test_state.py
@@ -11,9 +11,9 @@
 from hillfield.fleet.messages import Statement, Statements
 from hillfield.fleet.outbox import Outbox
 from hillfield.fleet.readiness import waiting_for
-from hillfield.fleet.reading import is_cut_off
+from hillfield.fleet.store_reads import is_cut_off
 from hillfield.fleet.settings import FleetSettings
-from hillfield.fleet.statements import take_in
+from hillfield.fleet.state_updates import receive_update
 from hillfield.model import Address, Locality, Target, TargetId, TargetState
 
 NODES = tuple(Address('127.0.0.1', port) for port in range(9000, 9008))
@@ -51,7 +51,7 @@
         state = mesh.add(settings_of(address))
         state.publish_targets(mesh.now, (target_of(address),))
     mesh.states[NODES[0]].submit(Entry('/a', 1, b'a'))
-    mesh.states[NODES[0]].note_loaded()
+    mesh.states[NODES[0]].mark_loaded()
     mesh.run(10)
     return mesh
 
@@ -181,13 +181,13 @@
     for paused in NODES:
         mesh.paused.add(paused)
         mesh.run(12)
-        mesh.letters.clear()
+        mesh.in_flight.clear()
         mesh.paused.clear()
         mesh.run(3)
     mesh.run(45)
     for address in NODES:
         for link in core_of(mesh, address).links:
-            back = core_of(mesh, link.address).links.at(address)
+            back = core_of(mesh, link.address).links.find_by_address(address)
             assert link.dialled or back.dialled
 
 
@@ -219,23 +219,23 @@
     elsewhere = Address('127.0.0.1', 9100)
     namesake = replace(settings_of(NODES[5]), link=elsewhere, incarnation=9)
     mesh.add(namesake)
-    before = mesh.carried
+    before = mesh.delivered
     mesh.run(60)
     codes = [occurrence.code for occurrence in mesh.occurrences]
     assert EventCode.NAME_TAKEN in codes
     assert codes.count(EventCode.INCARNATION_RAISED) <= 8
-    assert mesh.carried - before < 9 * 60 * 20
+    assert mesh.delivered - before < 9 * 60 * 20
 
 
 def test_peer_is_not_sent_what_it_has_just_sent():
     outbox = Outbox(settings_of(NODES[0]))
     older = Statement('m', 'n', 1, 1, b'')
     newer = Statement('m', 'n', 1, 2, b'')
-    outbox.pass_on(NODES[1], older)
-    outbox.pass_on(NODES[2], newer)
-    outbox.leave_out(NODES[1], newer)
-    outbox.leave_out(NODES[2], older)
-    sent = outbox.take(9)
+    outbox.queue_update(NODES[1], older)
+    outbox.queue_update(NODES[2], newer)
+    outbox.drop_known(NODES[1], newer)
+    outbox.drop_known(NODES[2], older)
+    sent = outbox.pop_effects(9)
     assert sent == (SendTo(NODES[2], Statements((newer,))),)
 
 
@@ -270,7 +270,7 @@
 def test_unknown_kind_is_counted_and_not_kept(mesh):
     core = core_of(mesh, NODES[0])
     held = len(core.book)
-    take_in(core, mesh.now, Statement('x', 'node-1', 9, 1, b''), None)
+    receive_update(core, mesh.now, Statement('x', 'node-1', 9, 1, b''), None)
     assert core.counts['unknown-kind'] == 1
     assert len(core.book) == held
 
@@ -295,7 +295,7 @@
     peers = (Address('127.0.0.9', 9000), Address('127.0.0.9', 9001))
     for peer in peers:
         state.dial(mesh.now, peer)
-    effects = state.take(mesh.now + 0.1, Ticked())
+    effects = state.handle_event(mesh.now + 0.1, Ticked())
     dialled = [effect.peer for effect in effects if isinstance(effect, Dial)]
     assert set(peers) <= set(dialled)
 
@@ -307,7 +307,7 @@
     it thought its neighbours alive for 3 s.
     """
     core = mesh.states[NODES[0]].core
-    heard = max(link.last_sign for link in core.heard_links())
+    heard = max(link.last_activity for link in core.heard_links())
     assert not is_cut_off(core, heard + 0.7)
     assert is_cut_off(core, heard + 0.9)
 
@@ -317,6 +317,6 @@
     paused = NODES[5]
     links = core_of(mesh, paused).links
     for link in links:
-        link.heard -= 1.9
-    mesh.states[paused].take(mesh.now + 1.4, Ticked())
+        link.last_received -= 1.9
+    mesh.states[paused].handle_event(mesh.now + 1.4, Ticked())
     assert all(link.up for link in links)
--- a/hillfield/fleet/tests/test_reading.py
+++ b/hillfield/fleet/tests/test_store_reads.py
@@ -9,14 +9,14 @@
 from hillfield.fleet.effects import StoreRead
 from hillfield.fleet.heartbeats import find_age
 from hillfield.fleet.mesh import Mesh
-from hillfield.fleet.reading import (
-    ALONE,
-    FRESH,
-    TOO_OLD,
-    TURN,
-    defers,
-    find_patience,
-    is_due,
+from hillfield.fleet.store_reads import (
+    LONE_WATCHER_AGE,
+    WATCHER_READ_AGE,
+    MAX_AGE,
+    READ_STAGGER,
+    defers_read,
+    compute_watcher_age_limit,
+    is_read_due,
 )
 from hillfield.fleet.settings import FleetSettings
 from hillfield.model import Address, Locality
@@ -53,9 +53,9 @@
     for number in range(NODES):
         mesh.add(settings_of(number))
     follower = find_state(mesh, 0)
-    follower.hold_slot('a/0')
+    follower.set_relay_slot('a/0')
     follower.submit(Entry(KEY, 7, b'routes'))
-    follower.note_loaded()
+    follower.mark_loaded()
     mesh.run(8)
     return mesh
 
@@ -67,8 +67,8 @@
 def read_store(mesh, number):
     """Let a node read the store now, and what it tells arrive."""
     state = find_state(mesh, number)
-    effects = state.take(mesh.now, StoreRead(mesh.now))
-    mesh.post(settings_of(number).link, effects)
+    effects = state.handle_event(mesh.now, StoreRead(mesh.now))
+    mesh.send_effects(settings_of(number).link, effects)
     mesh.run(0.1)
 
 
@@ -88,7 +88,7 @@
     assert min(ages_of(mesh)) > 4
     core = find_state(mesh, 5).core
     assert core.heard_links()
-    turns = [is_due(state.core, mesh.now) for state in list_states(mesh)]
+    turns = [is_read_due(state.core, mesh.now) for state in list_states(mesh)]
     assert any(turns)
 
 
@@ -116,20 +116,22 @@
 def test_followers_read_one_after_another_and_none_too_late(mesh):
     slots = ('a/0', 'b/0', 'c/0', 'a/1', 'b/1', 'c/1')
     for number, slot in enumerate(slots):
-        find_state(mesh, number).hold_slot(slot)
+        find_state(mesh, number).set_relay_slot(slot)
     mesh.run(3)
     read_store(mesh, 0)
     cores = [find_state(mesh, place).core for place in range(len(slots))]
-    waits = [find_patience(core, mesh.now) for core in cores]
-    steps = [FRESH + TURN * place for place in range(len(slots))]
-    assert waits == [min(step, TOO_OLD) for step in steps]
+    waits = [compute_watcher_age_limit(core, mesh.now) for core in cores]
+    steps = [
+        WATCHER_READ_AGE + READ_STAGGER * place for place in range(len(slots))
+    ]
+    assert waits == [min(step, MAX_AGE) for step in steps]
     assert max(waits) < PROMISED
 
 
 def test_a_lone_follower_reads_often_enough_by_itself(mesh):
     core = find_state(mesh, 0).core
     read_store(mesh, 0)
-    assert find_patience(core, mesh.now) == ALONE
+    assert compute_watcher_age_limit(core, mesh.now) == LONE_WATCHER_AGE
 
 
 def test_a_node_leaves_the_store_alone_once_neighbours_read_in_vain(mesh):
@@ -142,14 +144,14 @@
     rivals = core.heard_links()
     assert len(rivals) > 2
     for link in rivals:
-        link.in_vain = True
-    assert defers(core, mesh.now)
-    rivals[0].in_vain = False
+        link.read_failed = True
+    assert defers_read(core, mesh.now)
+    rivals[0].read_failed = False
     for link in rivals[3:]:
-        link.in_vain = False
+        link.read_failed = False
         link.confirmed = mesh.now
     rivals[0].confirmed = mesh.now
-    assert not defers(core, mesh.now)
+    assert not defers_read(core, mesh.now)
 
 
 def test_a_node_defers_to_no_neighbour_that_may_be_gone(mesh):
@@ -157,5 +159,5 @@
     mesh.run(2)
     core = find_state(mesh, 5).core
     for link in core.heard_links():
-        link.heard = mesh.now - 1
-    assert not defers(core, mesh.now)
+        link.last_received = mesh.now - 1
+    assert not defers_read(core, mesh.now)
--- a/hillfield/fleet/traffic.py
+++ b/hillfield/fleet/traffic.py
@@ -16,8 +16,8 @@
 from hillfield.fleet.state import FleetState
 from hillfield.model import Address
 
-SETTLED: Final = 60.0
-WATCHED: Final = 20.0
+SETTLE_SECONDS: Final = 60.0
+OBSERVED_SECONDS: Final = 20.0
 SEED: Final = 5
 ENTRY_SIZE: Final = 4096
 TARGETS_A_NODE: Final = 13
@@ -52,7 +52,7 @@
     loss = _watch(mesh) - quiet
     return Traffic(
         nodes=nodes,
-        quiet=quiet / nodes / WATCHED,
+        quiet=quiet / nodes / OBSERVED_SECONDS,
         restart=restart / nodes,
         loss=loss / nodes,
         entry=entry / nodes,
@@ -68,8 +68,8 @@
         _announce(mesh, settings.link, mesh.add(settings))
     first = mesh.states[seeds[0]]
     first.submit(Entry('/k', 1, bytes(ENTRY_SIZE)))
-    first.note_loaded()
-    mesh.run(SETTLED)
+    first.mark_loaded()
+    mesh.run(SETTLE_SECONDS)
     return mesh
 
 
@@ -86,5 +86,5 @@
 
 def _watch(mesh: Mesh) -> int:
     before = mesh.carried_bytes
-    mesh.run(WATCHED)
+    mesh.run(OBSERVED_SECONDS)
     return mesh.carried_bytes - before
--- a/hillfield/fleet/view.py
+++ b/hillfield/fleet/view.py
@@ -2,12 +2,12 @@
 
 from msgspec import Struct
 
-from hillfield.fleet.book import StatementBook
+from hillfield.fleet.state_table import StateTable
 from hillfield.fleet.records import Kind, RecordCodec
 from hillfield.model import Target
 
 
-class Shown(Struct, frozen=True):
+class ListedServices(Struct, frozen=True):
     """Say of one node which services its targets serve."""
 
     services: tuple[str, ...]
@@ -20,11 +20,11 @@
     that a node pays only for what it proxies.
     """
 
-    def __init__(self, book: StatementBook, codec: RecordCodec) -> None:
+    def __init__(self, book: StateTable, codec: RecordCodec) -> None:
         """Show the targets of a book's statements."""
         self._book = book
         self._codec = codec
-        self._shown: dict[str, Shown] = {}
+        self._shown: dict[str, ListedServices] = {}
         self._nodes: dict[str, set[str]] = {}
         self._revisions: dict[str, int] = {}
         self._cache: dict[str, tuple[Target, ...]] = {}
@@ -58,31 +58,31 @@
             for target in self._read(name)
         )
 
-    def show(self, name: str) -> None:
+    def update_node(self, name: str) -> None:
         """Show what a node's latest statement says."""
         found = self._read(name)
         services = tuple(sorted({target.id.service for target in found}))
-        before = self._shown.pop(name, Shown(()))
+        before = self._shown.pop(name, ListedServices(()))
         for gone in before.services:
             self._unlist(gone, name)
         if services:
-            self._shown[name] = Shown(services)
+            self._shown[name] = ListedServices(services)
         for service in services:
             self._nodes.setdefault(service, set()).add(name)
         self._touch(before.services + services)
 
-    def hide(self, name: str) -> None:
+    def remove_node(self, name: str) -> None:
         """Show a node's targets no longer."""
-        before = self._shown.pop(name, Shown(()))
+        before = self._shown.pop(name, ListedServices(()))
         for gone in before.services:
             self._unlist(gone, name)
         self._touch(before.services)
 
-    def shows(self, name: str) -> bool:
+    def lists_node(self, name: str) -> bool:
         """Return whether a node's targets are shown."""
         return name in self._shown
 
-    def take_changed(self) -> frozenset[str]:
+    def pop_changed(self) -> frozenset[str]:
         """Return the services that changed since the last call."""
         changed = frozenset(self._changed)
         self._changed.clear()
--- a/hillfield/hostroutes/planner.py
+++ b/hillfield/hostroutes/planner.py
@@ -31,7 +31,7 @@
 
 # Ranks that routes may have below one rank of an account.
 ROUTE_RANKS: Final = 1000
-NOBODY: Final = FleetAccount('', ())
+ANONYMOUS_ACCOUNT: Final = FleetAccount('', ())
 
 TableReader = Callable[[bytes], Result[RouteTable, str]]
 TableListener = Callable[[RouteTable], None]
@@ -53,7 +53,7 @@
     safe_checks: AnswerChecks
 
 
-class Birth(Struct, frozen=True):
+class RouteAdoption(Struct, frozen=True):
     """Say which version brought a route, and when this node adopted it.
 
     `since` is in monotonic seconds; None: with the node's first table.
@@ -112,7 +112,7 @@
         self._journal = journal
         self._entry: Entry | None = None
         self._index: RouteIndex | None = None
-        self._births: dict[str, Birth] = {}
+        self._births: dict[str, RouteAdoption] = {}
 
     def adopt(self, entry: Entry) -> None:
         """Take an entry unless a newer one of its key is held."""
@@ -188,7 +188,7 @@
     def _note_births(self, table: RouteTable) -> None:
         """Note which routes a table brings that this node did not hold."""
         since = None if self._index is None else monotonic()
-        birth = Birth(table.version, since)
+        birth = RouteAdoption(table.version, since)
         self._births = {
             route.name: self._births.get(route.name, birth)
             for route in table.routes
@@ -224,14 +224,14 @@
 ) -> FleetAccount | RequestFailure:
     """Return whose request it is; one without a name where none is needed."""
     if index.table.accounts is None:
-        return NOBODY
+        return ANONYMOUS_ACCOUNT
     # A key names its account by itself: one that came with a name is none.
     key = '' if head.account else head.secret
     account = index.find_account(key)
     if account is not None:
         return account
     if route.public:
-        return NOBODY
+        return ANONYMOUS_ACCOUNT
     if key:
         return refuse_caller(
             EventCode.CREDENTIALS_REFUSED,
--- a/hillfield/link/layer.py
+++ b/hillfield/link/layer.py
@@ -26,11 +26,11 @@
 from hillfield.model import Address, parse_address
 
 RECEIVE_QUEUE: Final = 256
-RECONNECT_FIRST: Final = 200
-RECONNECT_LIMIT: Final = 5000
-LINGER: Final = 0.5
+RECONNECT_FIRST_MS: Final = 200
+RECONNECT_LIMIT_MS: Final = 5000
+LINGER_SECONDS: Final = 0.5
 CLOSING_LIMIT: Final = 64
-TAKEN_AT_ONCE: Final = 64
+RECEIVES_PER_TURN: Final = 64
 
 
 class LinkSettings(Struct, frozen=True):
@@ -108,8 +108,8 @@
             return
         push = Push0(
             send_buffer_size=self._settings.queue_limit,
-            reconnect_time_min=RECONNECT_FIRST,
-            reconnect_time_max=RECONNECT_LIMIT,
+            reconnect_time_min=RECONNECT_FIRST_MS,
+            reconnect_time_max=RECONNECT_LIMIT_MS,
         )
         push.dial(f'tcp://{peer}', block=False)
         self._pushes[peer] = push
@@ -125,7 +125,7 @@
         else:
             self._push(peer, sealed)
 
-    def hang_up(self, peer: Address) -> None:
+    def disconnect(self, peer: Address) -> None:
         """Close a link, a little later so that its last words get out."""
         push = self._pushes.pop(peer, None)
         if push is None:
@@ -133,7 +133,7 @@
         self._closing.append(push)
         if len(self._closing) > CLOSING_LIMIT:
             self._closing.popleft().close()
-        asyncio.get_running_loop().call_later(LINGER, push.close)
+        asyncio.get_running_loop().call_later(LINGER_SECONDS, push.close)
 
     def close(self) -> None:
         """Close all sockets."""
@@ -167,7 +167,7 @@
         pull = self._listening
         if pull is None:
             return
-        for _ in range(TAKEN_AT_ONCE):
+        for _ in range(RECEIVES_PER_TURN):
             try:
                 sealed = pull.recv(block=False)
             except (TryAgain, NNGException):
