--- a/hillfield/announcements/incarnations.py
+++ b/hillfield/announcements/incarnations.py
@@ -37,11 +37,11 @@
     drain_started: float | None = None
 
     def is_silent(self, now: float, settings: AnnouncementSettings) -> bool:
-        """Tell whether heartbeats have been missing for the expiry."""
+        """Return whether heartbeats have been missing for the expiry."""
         return now - self.heard > settings.expiry
 
     def is_expired(self, now: float, settings: AnnouncementSettings) -> bool:
-        """Tell whether the life is to be forgotten."""
+        """Return whether the life is to be forgotten."""
         if not self.is_silent(now, settings):
             return False
         if self.drain_started is None:
@@ -58,7 +58,7 @@
         announcement: Announcement,
         settings: AnnouncementSettings,
     ) -> bool:
-        """Tell whether the announcement is not the start of a new life.
+        """Return whether the announcement is not the start of a new life.
 
         That of an earlier life counts as this one's while heartbeats come,
         so that it is refused rather than listed.
--- a/hillfield/fleet/__init__.py
+++ b/hillfield/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Membership, targets, evidence and configuration across the fleet."""
+"""Dissemination of membership, targets, evidence and configuration."""
 
 from hillfield.fleet.findings import NodeEvidence
 from hillfield.fleet.readiness import waiting_for
--- a/hillfield/fleet/audience.py
+++ b/hillfield/fleet/audience.py
@@ -1,4 +1,4 @@
-"""Which nodes of other failure domains a gate's news goes through."""
+"""Live members, and the nodes to which a gate sends its load reports."""
 
 from collections.abc import Iterable, Iterator
 from functools import partial
@@ -11,9 +11,11 @@
 
 
 class Audience(Struct, frozen=True):
-    """Hold IP numbers: one to tell a further domain, and all nodes there.
+    """Hold IP addresses of nodes in other failure domains of the region.
 
-    Only what comes from `elsewhere` is passed on to the own failure domain.
+    `far` has one node of each domain, which forwards the reports there;
+    `elsewhere` all nodes. Only reports from `elsewhere` are forwarded to the
+    own failure domain.
     """
 
     far: tuple[str, ...] = ()
@@ -28,7 +30,7 @@
 
 
 def list_others(core: Core) -> list[NodeRecord]:
-    """Return the records of the live members beside this node."""
+    """Return the records of the live members other than this node."""
     own = core.own.record.name
     return [record for record in list_alive(core) if record.name != own]
 
@@ -37,10 +39,11 @@
     own: NodeRecord,
     others: Iterable[NodeRecord],
 ) -> Audience:
-    """Return whom a node tells.
+    """Return the recipients of a node's load reports.
 
-    Another failure domain of the region is told through one node of it, which
-    tells its own; each gate picks its own one (rendezvous hashing).
+    Each other failure domain of the region is reached through one of its
+    nodes, which forwards the reports to the others; each gate picks its own
+    one by rendezvous hashing.
     """
     here = own.locality
     domains: dict[str, list[NodeRecord]] = {}
--- a/hillfield/fleet/backoff.py
+++ b/hillfield/fleet/backoff.py
@@ -1,4 +1,4 @@
-"""When to do again what has not helped yet; time is a value."""
+"""Exponential backoff between attempts; time is a value."""
 
 from typing import Final
 
@@ -6,27 +6,29 @@
 
 
 class Backoff:
-    """Be due while something is not well, ever less often.
+    """Space out attempts with pauses that double until one succeeds.
 
-    What has never been well has the first pause to become so.
+    The first attempt is due one pause after the first call without success.
 
     >>> backoff = Backoff(first=1, longest=4)
-    >>> [backoff.is_due(now, well=False) for now in (0, 0.5, 1, 2, 3)]
+    >>> [backoff.is_due(now, succeeded=False) for now in (0, 0.5, 1, 2, 3)]
     [False, False, True, True, False]
-    >>> backoff.is_due(4, well=True), backoff.is_due(4.1, well=False)
-    (False, True)
+    >>> backoff.is_due(4, succeeded=True)
+    False
+    >>> backoff.is_due(4.1, succeeded=False)
+    True
     """
 
     def __init__(self, first: float, longest: float) -> None:
-        """Start; both are seconds."""
+        """Set the first and the longest pause, in seconds."""
         self._first = first
         self._longest = longest
         self._pause = first
         self._next: float | None = None
 
-    def is_due(self, now: float, *, well: bool) -> bool:
-        """Tell whether to try now; a try puts the next one off."""
-        if well:
+    def is_due(self, now: float, *, succeeded: bool) -> bool:
+        """Return whether to try now; if so, schedule the next attempt."""
+        if succeeded:
             self._pause = self._first
             self._next = now
             return False
--- a/hillfield/fleet/core.py
+++ b/hillfield/fleet/core.py
@@ -1,4 +1,4 @@
-"""The parts of a node's fleet state, shared by the code that handles it."""
+"""The parts of a node's fleet state, shared by the code that updates it."""
 
 from dataclasses import dataclass, field
 from enum import IntEnum, StrEnum
@@ -19,16 +19,16 @@
 
 
 class EntrySource(StrEnum):
-    """Name by which way an entry came to this node."""
+    """Name how an entry came to this node; values appear in the journal."""
 
     WRITE = 'its own write'
     WATCH = 'a watch'
-    READING = 'a reading'
+    READ = 'a reading'
     NEIGHBOUR = 'a neighbour'
 
 
 class Subject(IntEnum):
-    """Name what a hash or a list of versions is about."""
+    """Name what a hash or a list of versions covers."""
 
     STATE_UPDATES = 0
     ENTRIES = 1
@@ -36,11 +36,13 @@
 
 @dataclass(slots=True)
 class OwnState:
-    """Hold what this node says of itself.
+    """Hold this node's own state.
 
-    `publish_delay` is how many seconds after its record was published it may be
-    published anew; `confirmed` when its entries were last known to be all
-    that the store holds, `read_failed` that reading it has failed since.
+    `publish_delay` is the least number of seconds between two publications of
+    the record; `confirmed` the time at which the node's entries were last
+    known to be all that the store holds; `read_failed` whether a read of the
+    store has failed since; `name_conflict` when another process was last seen
+    to use this node's name.
     """
 
     record: NodeRecord
@@ -57,7 +59,7 @@
 
 @dataclass(slots=True)
 class Timestamps:
-    """Hold when things were done last."""
+    """Hold when each periodic task last ran, in monotonic seconds."""
 
     started: float = inf
     ticked: float = -inf
@@ -70,7 +72,7 @@
     confirmation_sent: float = -inf
 
     def record_start(self, now: float) -> None:
-        """Take the first tick as the start."""
+        """Set the start time at the first tick."""
         if self.started == inf:
             self.started = now
             self.wait_reported = now
@@ -78,7 +80,12 @@
 
 @dataclass(slots=True)
 class Core:
-    """Hold the parts of the state."""
+    """Hold the parts of a node's fleet state.
+
+    `lost_since` maps unreachable nodes to when they were lost,
+    `banned_until` addresses to when they may be dialled again,
+    `refusals_reported` reasons of refusals to when they were last reported.
+    """
 
     settings: FleetSettings
     codec: RecordCodec
@@ -104,11 +111,11 @@
         return self.book.summary
 
     def heard_links(self) -> tuple[Link, ...]:
-        """Return the links whose peers are heard."""
+        """Return the links whose peers are reachable."""
         return tuple(link for link in self.links if link.up)
 
     def count(self, reason: str) -> None:
-        """Count something that went wrong."""
+        """Count a fault by its reason."""
         self.counts[reason] = self.counts.get(reason, 0) + 1
 
     def report(self, code: EventCode, peer: str = '', detail: str = '') -> None:
--- a/hillfield/fleet/core_builder.py
+++ b/hillfield/fleet/core_builder.py
@@ -1,4 +1,4 @@
-"""Put the parts of a node's fleet state together."""
+"""Build the parts of a node's fleet state."""
 
 from hillfield.fleet.state_table import StateTable
 from hillfield.fleet.core import Core, OwnState
@@ -13,9 +13,9 @@
 
 
 def build_core(settings: FleetSettings, store: EntryStore) -> Core:
-    """Return the state of a node that knows only itself."""
+    """Return the initial state of a node, with itself as the only member."""
     codec = RecordCodec()
-    book = StateTable(codec)
+    state_table = StateTable(codec)
     record = NodeRecord(
         name=settings.name,
         locality=settings.locality,
@@ -26,10 +26,10 @@
     return Core(
         settings=settings,
         codec=codec,
-        book=book,
+        book=state_table,
         ledger=EntryIndex(store, settings.pull_again),
-        view=TargetView(book, codec),
-        findings=FindingsView(book, codec, settings.evidence_life),
+        view=TargetView(state_table, codec),
+        findings=FindingsView(state_table, codec, settings.evidence_life),
         links=LinkTable(),
         outbox=Outbox(settings),
         addresses=KnownAddresses(settings),
--- a/hillfield/fleet/effects.py
+++ b/hillfield/fleet/effects.py
@@ -1,4 +1,4 @@
-"""What goes into the fleet's state and what comes out."""
+"""Events that the fleet's state handles, and effects that it returns."""
 
 from msgspec import Struct
 
@@ -9,45 +9,46 @@
 
 
 class Refused(Struct, frozen=True):
-    """Note that bytes came that aren't a message of this cluster."""
+    """Bytes came that are no message of this cluster."""
 
     reason: Refusal
 
 
 class Ticked(Struct, frozen=True):
-    """Note that time has passed; due each 0.1 s or less."""
+    """Time has passed; due every 0.1 s or more often."""
 
 
 class StoreRead(Struct, frozen=True):
-    """Note when this node asked for all of the store that it now holds.
+    """This node has read the store.
 
-    `requested` is in monotonic seconds; None: it asked in vain.
+    `requested` is when it sent the request for the entries that it now holds,
+    in monotonic seconds; None if the read failed.
     """
 
     requested: float | None
 
 
 class SendTo(Struct, frozen=True):
-    """Ask for a message to be sent over a link."""
+    """Send a message over a link."""
 
     peer: Address
     message: Message
 
 
 class Dial(Struct, frozen=True):
-    """Ask for a link to be opened."""
+    """Open a link."""
 
     peer: Address
 
 
 class Disconnect(Struct, frozen=True):
-    """Ask for a link to be closed."""
+    """Close a link."""
 
     peer: Address
 
 
 class Report(Struct, frozen=True):
-    """Ask for an event to be recorded."""
+    """Record an event in the journal."""
 
     occurrence: Occurrence
 
--- a/hillfield/fleet/envelope.py
+++ b/hillfield/fleet/envelope.py
@@ -1,9 +1,9 @@
-"""Seal messages to a cluster and refuse what isn't of it.
+"""Authenticate messages of a cluster and refuse all others.
 
 Layout: protocol version (1 byte), length of the cluster's name (1 byte), the
-name, a keyed MAC (12 bytes), the body, which is compressed where it is large.
-The name is read first, so that a
-node of another cluster is told from one with a wrong key.
+name, a keyed MAC (12 bytes), the body, which is compressed if it is large.
+The name is checked first, to distinguish a node of another cluster from one
+with a wrong key.
 """
 
 from enum import StrEnum
@@ -29,16 +29,17 @@
 MAC_LENGTH: Final = 12
 FIXED_LENGTH: Final = 2
 KEY_LIMIT: Final = 64
-# Bytes from which a body is compressed. A configuration of 1,200 routes, 218 kB,
-# goes as 15 kB and takes 0.9 ms; uncompressed it takes 0.2 s of a link of 10
-# Mbit/s for each node that asks for it.
+# Bytes from which a body is compressed. A configuration of 1,200 routes
+# (218 kB) becomes 15 kB in 0.9 ms; uncompressed, it takes 0.2 s of a link of
+# 10 Mbit/s for each node that requests it.
 COMPRESSION_THRESHOLD: Final = 2048
-# How a compressed body begins; msgpack's array of four begins otherwise.
+# First bytes of a compressed body; a body of msgpack, an array of four fields,
+# starts differently.
 ZSTD_MAGIC: Final = b'\x28\xb5\x2f\xfd'
 
 
 class Refusal(StrEnum):
-    """Name why a message was refused."""
+    """Name why a message was refused; values are counter names."""
 
     OVERSIZED = 'oversized'
     OTHER_VERSION = 'other-version'
@@ -49,17 +50,17 @@
 
 
 class StampSource(Protocol):
-    """Order events over all nodes; `Timeline` does."""
+    """Clock that orders events over all nodes, such as `Timeline`."""
 
     def stamp(self) -> Stamp:
         """Return the stamp to send along with a message."""
 
     def merge(self, remote: Stamp) -> Stamp:
-        """Take in the stamp that came with a message."""
+        """Advance the clock beyond the stamp that came with a message."""
 
 
 class Body(Struct, frozen=True, array_like=True):
-    """Hold a message, the life of the node that sent it, and when."""
+    """Hold a message with the sender's name, incarnation and stamp."""
 
     sender: str
     incarnation: int
@@ -68,7 +69,7 @@
 
 
 class Received(Struct, frozen=True):
-    """Hold a message that came from a node of this cluster."""
+    """Hold a message from a node of this cluster."""
 
     sender: str
     incarnation: int
@@ -83,10 +84,10 @@
         settings: FleetSettings,
         clock: StampSource | None = None,
     ) -> None:
-        """Derive the head and the MAC's key from the settings.
+        """Derive the header and the MAC key from the settings.
 
-        With a clock, what a node records after it took in a message is
-        ordered after what the sender recorded before it sent it.
+        With a clock, events that a node records after it received a message
+        are ordered after those that the sender recorded before it.
         """
         cluster = settings.cluster.encode()
         self._settings = settings
@@ -97,7 +98,7 @@
         self._decoder = Decoder(Body)
 
     def seal(self, message: Message, incarnation: int) -> bytes:
-        """Return the message's form on the wire."""
+        """Return the encoded and authenticated message."""
         stamp = 0 if self._clock is None else self._clock.stamp().pack()
         body = self._encoder.encode(
             Body(self._settings.name, incarnation, message, stamp),
@@ -141,7 +142,7 @@
         )
 
     def _unpack(self, body: bytes) -> bytes:
-        """Return the body as it was; nothing of one that would be too large."""
+        """Decompress a body; return no bytes if it would be too large."""
         if not body.startswith(ZSTD_MAGIC):
             return body
         size = get_frame_parameters(body).content_size
--- a/hillfield/fleet/event_handlers.py
+++ b/hillfield/fleet/event_handlers.py
@@ -1,4 +1,4 @@
-"""Take events into the state, one function a kind of event."""
+"""Apply events to the state, one function per kind of event."""
 
 from functools import singledispatch
 from math import inf
@@ -15,14 +15,15 @@
 from hillfield.fleet.readiness import update_readiness
 from hillfield.fleet.replication import anti_entropy, entry_dissemination
 
+# Seconds between two reports of refused messages with one reason.
 REFUSAL_REPORT_INTERVAL: Final = 10.0
-# Their import registers the reactions to their messages.
+# Importing these modules registers the handlers of their messages.
 HANDLER_MODULES: Final = (anti_entropy, entry_dissemination)
 
 
 @singledispatch
 def handle_event(event: object, core: Core, now: float) -> None:
-    """Take an event into the state."""
+    """Apply an event to the state."""
     raise TypeError(type(event).__name__)
 
 
--- a/hillfield/fleet/feeds.py
+++ b/hillfield/fleet/feeds.py
@@ -1,4 +1,4 @@
-"""Feed the fleet with all that the store holds under some prefixes."""
+"""Feed the fleet with the store's entries under some prefixes."""
 
 from asyncio import TaskGroup, gather
 from random import Random
@@ -16,19 +16,21 @@
 from hillfield.store.paging import Snapshot, Span, read_span
 from hillfield.store.ports import Store, StoredValue, StoreError
 
+# Seconds between two reports of failed store calls.
 ERROR_REPORT_INTERVAL: Final = 10.0
+# Entries of one page of a store read.
 PAGE_ENTRIES: Final = 256
 
 
 class FeedSettings(Struct, frozen=True):
-    """Say what the store's keys start with, and how they are followed."""
+    """Name the prefixes of the keys, and how they are watched."""
 
     prefixes: tuple[str, ...]
     following: FollowSettings = FollowSettings()
 
 
 class StoreFeed:
-    """Submit the store's entries to the fleet for as long as `run` runs."""
+    """Submit the store's entries to the fleet while `run` runs."""
 
     def __init__(
         self,
@@ -38,7 +40,7 @@
         random: Random,
         journal: Journal,
     ) -> None:
-        """Do nothing yet."""
+        """Create a feed that makes no store calls yet."""
         self._fleet = fleet
         self._store = store
         self._settings = settings
@@ -48,22 +50,22 @@
         self._loaded: set[str] = set()
 
     async def run(self) -> None:
-        """Follow all prefixes until cancelled."""
+        """Watch all prefixes until cancelled."""
         async with TaskGroup() as group:
             for prefix in self._settings.prefixes:
                 group.create_task(self._follow(prefix))
 
     async def load(self) -> bool:
-        """Read all prefixes once; tell whether all could be read."""
-        asked = monotonic()
+        """Read all prefixes once; return whether all reads succeeded."""
+        requested = monotonic()
         loaded = await gather(*map(self._read, self._settings.prefixes))
         if all(loaded):
             self._fleet.state.mark_loaded()
-        self._fleet.handle_event(StoreRead(asked if all(loaded) else None))
+        self._fleet.handle_event(StoreRead(requested if all(loaded) else None))
         return all(loaded)
 
     def report_error(self, error: StoreError) -> None:
-        """Record a failed call, not each of a row."""
+        """Record a failed call, at most one per report interval."""
         now = monotonic()
         if now - self._reported >= ERROR_REPORT_INTERVAL:
             self._reported = now
@@ -76,7 +78,7 @@
                 ),
             )
 
-    def _take(self, prefix: str, followed: Followed, known: int) -> None:
+    def _submit(self, prefix: str, followed: Followed, known: int) -> None:
         state = self._fleet.state
         match followed:
             case Snapshot():
@@ -91,7 +93,7 @@
         state = self._fleet.state
         known = state.core.ledger.newest_under(prefix)
         read = await read_span(self._store, Span(prefix), PAGE_ENTRIES)
-        self._take(prefix, read.error if read.is_error() else read.ok, known)
+        self._submit(prefix, read.error if read.is_error() else read.ok, known)
         return read.is_ok()
 
     async def _follow(self, prefix: str) -> None:
@@ -102,10 +104,10 @@
             self._random,
         )
         state = self._fleet.state
-        ledger = state.core.ledger
-        known = ledger.newest_under(prefix)
+        entry_index = state.core.ledger
+        known = entry_index.newest_under(prefix)
         async for followed in follower.follow():
-            self._take(prefix, followed, known)
-            known = ledger.newest_under(prefix)
+            self._submit(prefix, followed, known)
+            known = entry_index.newest_under(prefix)
             if len(self._loaded) == len(self._settings.prefixes):
                 state.mark_loaded()
--- a/hillfield/fleet/findings.py
+++ b/hillfield/fleet/findings.py
@@ -1,4 +1,4 @@
-"""Evidence of other nodes: recent, bounded, relative to who saw it."""
+"""Recent evidence published by other nodes, by the node that observed it."""
 
 from msgspec import Struct
 
@@ -8,7 +8,7 @@
 
 
 class NodeEvidence(Struct, frozen=True):
-    """Hold what one node, seen from its place, says of targets."""
+    """Hold one node's evidence about targets and its failure domain."""
 
     node: str
     domain: str
@@ -16,50 +16,50 @@
 
 
 class FindingsView:
-    """Hold each node's latest evidence until it is too old."""
+    """Give access to each node's latest evidence until it expires."""
 
     def __init__(
         self,
-        book: StateTable,
+        table: StateTable,
         codec: RecordCodec,
-        life: float,
+        lifetime: float,
     ) -> None:
-        """Show a book's evidence for `life` seconds after it came."""
-        self._book = book
+        """Read evidence of a state table for `lifetime` seconds after receipt."""
+        self._table = table
         self._codec = codec
-        self._life = life
-        self._came: dict[str, float] = {}
+        self._lifetime = lifetime
+        self._received: dict[str, float] = {}
         self._changed: set[str] = set()
 
     def record_update(self, now: float, name: str) -> None:
-        """Note that a node said something new."""
-        self._came[name] = now
+        """Record that a node published new evidence."""
+        self._received[name] = now
         self._changed.add(name)
 
     def expire(self, now: float) -> None:
-        """Drop what is too old."""
+        """Drop evidence whose lifetime has passed."""
         old = [
             name
-            for name, came in self._came.items()
-            if now - came >= self._life
+            for name, received in self._received.items()
+            if now - received >= self._lifetime
         ]
         for name in old:
-            self._came.pop(name)
+            self._received.pop(name)
             self._changed.add(name)
 
     def evidence(self) -> tuple[NodeEvidence, ...]:
-        """Return all recent evidence that isn't empty."""
-        found = (self.get_evidence(name) for name in sorted(self._came))
-        return tuple(finding for finding in found if finding.evidence)
+        """Return the recent evidence of all nodes that have any."""
+        recent = (self.get_evidence(name) for name in sorted(self._received))
+        return tuple(one for one in recent if one.evidence)
 
     def get_evidence(self, name: str) -> NodeEvidence:
-        """Return one node's recent evidence; empty when it has none."""
-        record = self._book.records.get(name)
-        statement = self._book.get(Kind.EVIDENCE, name)
+        """Return one node's recent evidence, which may be empty."""
+        record = self._table.records.get(name)
+        update = self._table.get(Kind.EVIDENCE, name)
         domain = '' if record is None else record.locality.failure_domain
-        if statement is None or name not in self._came:
+        if update is None or name not in self._received:
             return NodeEvidence(name, domain, ())
-        evidence = self._codec.decode_evidence(statement.payload)
+        evidence = self._codec.decode_evidence(update.payload)
         return NodeEvidence(name, domain, evidence)
 
     def pop_changed(self) -> frozenset[str]:
--- a/hillfield/fleet/heartbeats.py
+++ b/hillfield/fleet/heartbeats.py
@@ -1,9 +1,10 @@
-"""What nodes tell their neighbours at times, and what it tells of the store.
+"""Build and send heartbeats, and track how old the node's entries are.
 
-A neighbour's sign of life says nothing of the store: it may hear as little of
-it as this node. So heartbeats tell when somebody last read the store, and a
-reading is told on at once, as a wave of heartbeats: each node then knows how
-long ago what it holds was known to be all that the store holds.
+That a neighbour is alive says nothing about the store: it may be as cut off
+from it as this node. So heartbeats carry the time since any node last read
+the store, and a store read is disseminated at once by extra heartbeats from
+neighbour to neighbour. Each node then knows how long ago its entries were
+known to be all that the store holds.
 """
 
 from math import inf
@@ -14,14 +15,15 @@
 from hillfield.fleet.peering.link_table import Link
 from hillfield.fleet.replication.entry_index import EntryIndex
 
-# Seconds by which a reading is later than the one told of last, to be told at
-# once: one reading comes by several neighbours, a few ms apart.
+# Seconds by which a confirmation must be later than the one last sent for
+# heartbeats to be sent at once: one store read is reported by several
+# neighbours, a few ms apart.
 IMMEDIATE_STEP: Final = 0.25
 MILLISECONDS: Final = 1000
 
 
 def build_heartbeat(core: Core, now: float) -> Heartbeat:
-    """Return the heartbeat that sums up what this node knows."""
+    """Return a heartbeat with the hashes of this node's state."""
     age = find_age(core, now)
     return Heartbeat(
         core.book.summary.total,
@@ -34,7 +36,7 @@
 
 
 def send_heartbeats(core: Core, now: float) -> None:
-    """Send a heartbeat over each link, or a hello where none was heard."""
+    """Send a heartbeat over each link, or a hello if its peer is not up."""
     core.times.heartbeat_sent = now
     core.times.confirmation_sent = core.own.confirmed
     heartbeat = build_heartbeat(core, now)
@@ -47,17 +49,20 @@
 
 
 def build_hello(core: Core, asks: bool) -> Hello:
-    """Return the message that opens a link."""
+    """Return the message that requests or grants a link."""
     return Hello(core.settings.link, core.settings.locality, asks)
 
 
 def find_age(core: Core, now: float) -> float:
-    """Return the seconds since the store is known to have held no more."""
+    """Return the seconds since this node's entries were confirmed.
+
+    They were then known to be all that the store holds.
+    """
     return now - core.own.confirmed
 
 
 def confirm_entries(core: Core, now: float, read_at: float) -> None:
-    """Note that this node holds all that the store held at a moment."""
+    """Record that this node holds all that the store held at `read_at`."""
     if read_at <= core.own.confirmed:
         return
     core.own.confirmed = read_at
@@ -72,7 +77,10 @@
     link: Link,
     message: Heartbeat,
 ) -> None:
-    """Take what a neighbour tells of the store, now or once it is held."""
+    """Record a neighbour's store age; apply it if its entries are held here.
+
+    Otherwise it is applied once the missing entries have come.
+    """
     link.read_failed = message.read_failed
     if message.read_age_ms is None or message.read_age_ms < 0:
         return
@@ -83,13 +91,13 @@
 
 
 def confirm_from_link(core: Core, now: float, link: Link) -> None:
-    """Confirm by what a neighbour told, if all that it held is held here."""
+    """Confirm this node's entries if a confirmed neighbour holds no others."""
     if _holds_all(core.ledger, link):
         confirm_entries(core, now, link.confirmed)
 
 
-def _holds_all(ledger: EntryIndex, link: Link) -> bool:
-    """Tell whether all that a neighbour told of is held here, or newer."""
-    if link.entries_hash == ledger.summary.total:
+def _holds_all(index: EntryIndex, link: Link) -> bool:
+    """Return whether a neighbour's entries, or newer ones, are held here."""
+    if link.entries_hash == index.summary.total:
         return True
-    return len(ledger.summary) == 1 and ledger.newest_revision > link.newest
+    return len(index.summary) == 1 and index.newest_revision > link.newest
--- a/hillfield/fleet/loading.py
+++ b/hillfield/fleet/loading.py
@@ -1,4 +1,4 @@
-"""Load one state with what a fleet of any size would have told it."""
+"""Build a state that holds the updates of a fleet of any size, for tests."""
 
 from typing import Final
 
@@ -32,7 +32,7 @@
 
 
 def settings_of(number: int) -> FleetSettings:
-    """Return the settings of a node of the loaded fleet."""
+    """Return the settings of a node of the synthetic fleet."""
     address = Address('127.0.0.1', FIRST_PORT + number)
     region = number % REGIONS
     domain = number % DOMAINS
@@ -54,11 +54,11 @@
     nodes: int,
     version: int,
 ) -> Statement:
-    """Return a node's record, which hears its neighbours on both sides."""
+    """Return a node's record, which receives from neighbours on both sides."""
     settings = settings_of(number)
     steps = (1, nodes // NEIGHBOUR_DIVISOR, nodes // 2)
-    heard = {(number + step) % nodes for step in steps}
-    heard |= {(number - step) % nodes for step in steps}
+    senders = {(number + step) % nodes for step in steps}
+    senders |= {(number - step) % nodes for step in steps}
     record = NodeRecord(
         name=settings.name,
         locality=settings.locality,
@@ -66,7 +66,7 @@
         control=settings.control,
         caller=settings.caller,
         state=NodeState.SERVING,
-        receives_from=tuple(sorted(name_of(one) for one in heard)),
+        receives_from=tuple(sorted(name_of(one) for one in senders)),
     )
     payload = codec.encode_record(record)
     return Statement(Kind.MEMBER, settings.name, 1, version, payload)
@@ -77,7 +77,7 @@
     number: int,
     targets: int,
 ) -> Statement:
-    """Return a host's targets."""
+    """Return the update with a host's targets."""
     home = settings_of(number).locality
     listed = tuple(
         Target(
@@ -97,12 +97,12 @@
 
 
 def receive_from_peer(message: Hello | Heartbeat | Statements) -> Received:
-    """Return a message as it comes from the one neighbour."""
+    """Return a message as received from the only neighbour."""
     return Received(name_of(1), 1, message)
 
 
 def load_state(nodes: int, targets: int) -> FleetState:
-    """Return a state with all nodes alive and `targets` on each host."""
+    """Return a state with all nodes alive and `targets` targets per host."""
     settings = settings_of(OWN_NUMBER)
     peer = settings_of(1)
     state = FleetState(settings, MemoryStore())
--- a/hillfield/fleet/measurement.py
+++ b/hillfield/fleet/measurement.py
@@ -1,4 +1,4 @@
-"""Measure what the fleet's state costs at a node, by the size of the fleet.
+"""Measure the cost of the fleet's state at one node, by the size of the fleet.
 
 Times are medians of repeats on this machine; compare them within one run.
 """
@@ -40,7 +40,7 @@
 
 
 class Cost(Struct, frozen=True):
-    """Hold what one message costs: bytes on the wire, processor time."""
+    """Hold the cost of one message: bytes on the wire and processor time."""
 
     sealed_bytes: int
     microseconds: float
@@ -49,8 +49,8 @@
 class FleetCosts(Struct, frozen=True):
     """Hold the costs at one node of a fleet of `nodes` nodes.
 
-    Times include opening the message and all that it calls forth in the
-    state; `tick` is one of ten a second; memory is in bytes, by tracemalloc.
+    Times include decoding the message and all work of the state that follows;
+    `tick` is one of ten a second; memory is in bytes, by tracemalloc.
     """
 
     nodes: int
@@ -65,30 +65,30 @@
 
 
 def measure_costs(nodes: int, targets: int = TARGETS_A_NODE) -> FleetCosts:
-    """Measure a state that is loaded with so many nodes."""
+    """Measure a state with this number of nodes."""
     memory = measure_memory(nodes, targets)
     state = load_state(nodes, targets)
-    book = state.core.book
+    state_table = state.core.book
     entry = Entry('/key', 1, bytes(ENTRY_SIZE))
     return FleetCosts(
         nodes=nodes,
         targets=(nodes - 1) * targets,
         heartbeat=_cost(
             state,
-            lambda _: Heartbeat(book.summary.total, 0, ready=True),
+            lambda _: Heartbeat(state_table.summary.total, 0, ready=True),
         ),
         record_change=_cost(state, _changes(state, nodes)),
         entry=_cost(
             state,
-            lambda turn: Entries((Entry(entry.key, turn, entry.payload),)),
+            lambda number: Entries((Entry(entry.key, number, entry.payload),)),
         ),
         hashes=_cost(state, lambda _: Hashes(0, (0,) * BUCKETS, 1)),
         versions=_cost(
             state,
-            lambda turn: Versions(
+            lambda number: Versions(
                 0,
-                turn % BUCKETS,
-                book.summary.versions(turn % BUCKETS),
+                number % BUCKETS,
+                state_table.summary.versions(number % BUCKETS),
             ),
         ),
         tick=_measure_tick(state),
@@ -97,7 +97,7 @@
 
 
 def measure_memory(nodes: int, targets: int) -> int:
-    """Return the bytes that a loaded state holds on to."""
+    """Return the bytes of memory that a loaded state uses."""
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     state = load_state(nodes, targets)
@@ -107,12 +107,12 @@
 
 
 def _changes(state: FleetState, nodes: int) -> Callable[[int], Message]:
-    """Return changes that alter the graph, so that it is searched anew."""
+    """Return changes of the graph, so that reachable nodes are recomputed."""
 
-    def change(turn: int) -> Message:  # noqa: WPS430 -- binds two arguments
-        span = nodes - turn % 2
+    def change(number: int) -> Message:  # noqa: WPS430 -- binds two arguments
+        span = nodes - number % 2
         return Statements(
-            (member_statement(state.core.codec, 2, span, turn + 1),),
+            (member_statement(state.core.codec, 2, span, number + 1),),
         )
 
     return change
@@ -123,19 +123,19 @@
     opener = Codec(state.core.settings)
     seconds = []
     length = 0
-    for turn in range(1, REPEATS + 1):
-        sealed = sender.seal(make(turn), 1)
+    for number in range(1, REPEATS + 1):
+        sealed = sender.seal(make(number), 1)
         length = max(length, len(sealed))
         now = state.core.times.ticked + STEP_SECONDS
         began = time.perf_counter()
         state.handle_event(now, opener.open(sealed).ok)
         seconds.append(time.perf_counter() - began)
-        _rest(state, now)
+        _keep_alive(state, now)
     return Cost(length, median(seconds) * MICRO)
 
 
-def _rest(state: FleetState, now: float) -> None:
-    """Keep the neighbour heard and the tick on time, outside the timing."""
+def _keep_alive(state: FleetState, now: float) -> None:
+    """Keep the neighbour reachable and the tick on time, outside the timing."""
     beat = Heartbeat(state.core.book.summary.total, 0, ready=True)
     state.handle_event(now, receive_from_peer(beat))
     state.handle_event(now, Ticked())
--- a/hillfield/fleet/membership.py
+++ b/hillfield/fleet/membership.py
@@ -1,4 +1,4 @@
-"""Follow who is alive, and what becomes of those who aren't."""
+"""Track which nodes are reachable, and expire those that are not."""
 
 from typing import Final
 
@@ -7,20 +7,23 @@
 from hillfield.fleet.records import Kind
 from hillfield.fleet.state_updates import publish
 
+# Seconds between two computations of the reachable nodes.
 REFRESH_INTERVAL: Final = 0.1
-# Seconds after which a node's record may be published anew, doubled while it
-# keeps changing up to the longest, and counted from the shortest again once
-# it has stayed as it was for the quiet time. A node that starts has its first
-# links within 2 s and would publish each of them; every record goes to every
-# node, so the fleet's cost of a start grows with its square.
+# Seconds between two publications of a node's record. They double while the
+# record keeps changing, up to the limit, and start again from the shortest
+# once the record has not changed for the quiet time. A node that starts opens
+# its first links within 2 s and would publish its record for each of them;
+# since every record goes to every node, the cost of starting a fleet grows
+# with the square of its size.
 PUBLISH_DELAY: Final = 0.2
 PUBLISH_DELAY_LIMIT: Final = 1.6
 PUBLISH_QUIET_TIME: Final = 4.0
+# Changed nodes up to which each gets an event of its own.
 NAMES_PER_EVENT: Final = 8
 
 
 def refresh_members(core: Core, now: float) -> None:
-    """Find anew who can be reached, if a record changed."""
+    """Compute the reachable nodes again if a record changed."""
     if (
         core.book.members_stale
         and now - core.times.members_refreshed >= REFRESH_INTERVAL
@@ -32,18 +35,18 @@
         joined = sorted(others & core.book.alive)
         lost = sorted(others - core.book.alive)
         for name in joined:
-            _note_joined(core, name)
+            _record_joined(core, name)
         for gone in lost:
-            _note_lost(core, now, gone)
+            _record_lost(core, now, gone)
         _report(core, EventCode.MEMBER_JOINED, joined)
         _report(core, EventCode.MEMBER_LOST, lost)
 
 
 def expire_lost(core: Core, now: float) -> None:
-    """Let go of lost nodes' targets, later of the nodes.
+    """Drop the targets of lost nodes, and later the nodes themselves.
 
-    A node that hears nobody has lost its own links: that says nothing of
-    the others, so their time doesn't run.
+    A node without a reachable neighbour has lost its own links, which says
+    nothing about the other nodes: their timers are then reset.
     """
     if not core.heard_links():
         core.lost_since = dict.fromkeys(core.lost_since, now)
@@ -64,7 +67,7 @@
 
 
 def publish_record(core: Core, now: float) -> None:
-    """Publish this node's record if it changed."""
+    """Publish this node's record if it changed and its delay has passed."""
     held = core.book.get(Kind.MEMBER, core.own.record.name)
     payload = core.codec.encode_record(core.own.record)
     if held is not None and held.payload == payload:
@@ -79,14 +82,14 @@
     publish(core, now, Kind.MEMBER, payload)
 
 
-def _note_joined(core: Core, name: str) -> None:
+def _record_joined(core: Core, name: str) -> None:
     core.lost_since.pop(name, None)
     record = core.book.records[name]
     core.addresses.forget(record.link)
     core.view.update_node(name)
 
 
-def _note_lost(core: Core, now: float, name: str) -> None:
+def _record_lost(core: Core, now: float, name: str) -> None:
     core.lost_since[name] = now
     record = core.book.records.get(name)
     if record is not None:
@@ -94,7 +97,7 @@
 
 
 def _report(core: Core, code: EventCode, names: list[str]) -> None:
-    """Report each node, or in one event when many changed at once."""
+    """Report one event per node, or a single one if many changed at once."""
     if len(names) <= NAMES_PER_EVENT:
         for name in names:
             core.report(code, peer=name)
--- a/hillfield/fleet/mesh.py
+++ b/hillfield/fleet/mesh.py
@@ -1,6 +1,6 @@
-"""Carry sealed messages between states in one process, for tests of them.
+"""Simulated network between states in one process, for tests.
 
-It knows nothing of the protocol: states are plain objects, time is a number,
+It does not depend on the protocol: states are plain objects, time is a number,
 and each message passes through the codec as it would over a link.
 """
 
@@ -20,12 +20,14 @@
 from hillfield.model import Address
 
 TICK: Final = 0.1
+# Deliveries in one step, as a multiple of the squared number of nodes, from
+# which messages count as a storm that would not end.
 STORM_FACTOR: Final = 60
 QUEUE_LIMIT: Final = 256
 
 
 class MemoryStore:
-    """Keep what it is given: the guard against older entries isn't here."""
+    """Store any entry, also an older one, which the caller must refuse."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -36,7 +38,7 @@
         self.entries[entry.key] = entry
 
     def wants(self, key: str, revision: int) -> bool:
-        """Want all."""
+        """Return True for any revision."""
         return bool(key) and revision > 0
 
     def entry(self, key: str) -> Entry | None:
@@ -45,7 +47,7 @@
 
 
 class InFlightMessage(Struct, frozen=True):
-    """Hold a message on its way."""
+    """Hold a message that is not delivered yet."""
 
     sender: Address
     receiver: Address
@@ -54,10 +56,10 @@
 
 @dataclass(slots=True)
 class NetworkFaults:
-    """Say what happens to messages: which share is lost, doubled or late.
+    """Hold the shares of messages that are lost, duplicated or delayed.
 
-    A late one comes a tick later, or more. With `stepwise` a message takes a
-    tick for each hop, as a batch may.
+    A delayed one comes one or more ticks later. With `stepwise` a message
+    takes a tick for each hop, as a batch may.
     """
 
     random: Random
@@ -69,10 +71,10 @@
 
 
 class Mesh:
-    """Hold states and what is on its way between them."""
+    """Hold states and the messages in flight between them."""
 
     def __init__(self, random: Random) -> None:
-        """Start empty, at a time that isn't zero."""
+        """Create an empty network, at a time other than zero."""
         self.now = 1000.0
         self.states: dict[Address, FleetState] = {}
         self.occurrences: list[Occurrence] = []
@@ -85,19 +87,19 @@
         self.carried_bytes = 0
 
     def add(self, settings: FleetSettings) -> FleetState:
-        """Add a node, or start it again when it was there before."""
+        """Add a node, or restart it if it exists."""
         state = FleetState(settings, MemoryStore())
         self.states[settings.link] = state
         self.paused.discard(settings.link)
         return state
 
     def restart(self, address: Address) -> FleetState:
-        """Start a node again, as a new life with nothing in memory."""
+        """Restart a node as a new incarnation with an empty state."""
         settings = self.states[address].core.settings
         return self.add(replace(settings, incarnation=int(self.now * 1000)))
 
     def remove(self, address: Address) -> None:
-        """Take a node away without a word."""
+        """Remove a node without a goodbye."""
         self.states.pop(address)
 
     def run(self, seconds: float) -> None:
@@ -116,7 +118,7 @@
     def send_effects(
         self, sender: Address, effects: tuple[Effect, ...]
     ) -> None:
-        """Send off what a state asks for."""
+        """Send the messages and record the events of a state's effects."""
         codec = Codec(self.states[sender].core.settings)
         own = self.states[sender].core.own
         for effect in effects:
@@ -124,20 +126,20 @@
                 self.occurrences.append(effect.occurrence)
             if isinstance(effect, SendTo):
                 sealed = codec.seal(effect.message, own.incarnation)
-                self._put(InFlightMessage(sender, effect.peer, sealed))
+                self._enqueue(InFlightMessage(sender, effect.peer, sealed))
 
-    def _put(self, letter: InFlightMessage) -> None:
-        weather = self.faults
-        if (letter.sender, letter.receiver) in self.cut:
+    def _enqueue(self, message: InFlightMessage) -> None:
+        faults = self.faults
+        if (message.sender, message.receiver) in self.cut:
             return
-        if weather.random.random() < weather.loss:
+        if faults.random.random() < faults.loss:
             return
-        self.in_flight.append(letter)
-        if weather.random.random() < weather.duplication:
-            self.in_flight.append(letter)
+        self.in_flight.append(message)
+        if faults.random.random() < faults.duplication:
+            self.in_flight.append(message)
 
     def _deliver(self) -> None:
-        """Deliver all, and what that calls forth unless it is stepwise."""
+        """Deliver all messages, and their answers too unless stepwise."""
         waiting: list[InFlightMessage] = []
         limit = len(self.states) ** 2 * STORM_FACTOR
         if self.faults.stepwise:
@@ -145,36 +147,36 @@
         for _ in range(limit):
             if not self.in_flight:
                 break
-            letter = self.in_flight.pop(self._next_index())
-            if self._is_held(letter):
-                waiting.append(letter)
-            elif letter.receiver in self.states:
-                self._hand_over(letter)
-        waiting.extend(self._take_left())
+            message = self.in_flight.pop(self._next_index())
+            if self._is_delayed(message):
+                waiting.append(message)
+            elif message.receiver in self.states:
+                self._deliver_message(message)
+        waiting.extend(self._take_remaining())
         self.in_flight = waiting[-QUEUE_LIMIT * len(self.states) :]
 
-    def _take_left(self) -> list[InFlightMessage]:
-        """Return what is for the next step; without steps it is a storm."""
+    def _take_remaining(self) -> list[InFlightMessage]:
+        """Return messages left for the next step; unless stepwise, a storm."""
         if self.faults.stepwise:
             return self.in_flight
         self.storms += bool(self.in_flight)
         return []
 
-    def _is_held(self, letter: InFlightMessage) -> bool:
-        if letter.receiver in self.paused:
+    def _is_delayed(self, message: InFlightMessage) -> bool:
+        if message.receiver in self.paused:
             return True
-        weather = self.faults
-        return bool(weather.delay) and weather.random.random() < weather.delay
+        faults = self.faults
+        return bool(faults.delay) and faults.random.random() < faults.delay
 
     def _next_index(self) -> int:
         if self.faults.shuffled:
             return self.faults.random.randrange(len(self.in_flight))
         return 0
 
-    def _hand_over(self, letter: InFlightMessage) -> None:
-        state = self.states[letter.receiver]
+    def _deliver_message(self, message: InFlightMessage) -> None:
+        state = self.states[message.receiver]
         self.delivered += 1
-        self.carried_bytes += len(letter.sealed)
-        opened = Codec(state.core.settings).open(letter.sealed)
+        self.carried_bytes += len(message.sealed)
+        opened = Codec(state.core.settings).open(message.sealed)
         event = opened.ok if opened.is_ok() else Refused(opened.error)
-        self.send_effects(letter.receiver, state.handle_event(self.now, event))
+        self.send_effects(message.receiver, state.handle_event(self.now, event))
--- a/hillfield/fleet/mesh_observation.py
+++ b/hillfield/fleet/mesh_observation.py
@@ -1,4 +1,4 @@
-"""Wait for a fleet of states and count what it received meanwhile."""
+"""Run a mesh until a condition holds, and count the bytes received."""
 
 from collections import deque
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 
 
 def wait_until(mesh: Mesh, done: Callable[[Mesh], bool]) -> float:
-    """Let time pass until it is done; return the seconds that took."""
+    """Run the mesh until `done` returns true; return the seconds it took."""
     began = mesh.now
     while not done(mesh) and mesh.now - began < WAIT_LIMIT:
         mesh.run(TICK)
@@ -19,20 +19,20 @@
 
 
 def have_all_members(mesh: Mesh) -> bool:
-    """Return whether each node has just the others as members."""
+    """Return whether each node has exactly the present nodes as members."""
     counts = {len(state.core.book.alive) for state in mesh.states.values()}
     return counts == {len(mesh.states)}
 
 
 def count_received_bytes(mesh: Mesh, seconds: float) -> int:
-    """Let time pass; return the bytes that all nodes received."""
+    """Run the mesh; return the bytes that all nodes received."""
     before = mesh.carried_bytes
     mesh.run(seconds)
     return mesh.carried_bytes - before
 
 
 def find_busiest_window(samples: list[int]) -> int:
-    """Return the most that came within one window."""
+    """Return the largest sum of samples within one window."""
     rolling: deque[int] = deque(maxlen=round(WINDOW / TICK))
     most = 0
     for sample in samples:
--- a/hillfield/fleet/message_handlers.py
+++ b/hillfield/fleet/message_handlers.py
@@ -1,4 +1,4 @@
-"""React to what came over a link."""
+"""Handle the messages that arrive over links."""
 
 from functools import singledispatch
 from math import inf
@@ -22,12 +22,14 @@
 from hillfield.fleet.state_updates import receive_update
 from hillfield.model import Address
 
+# Messages in a row after which a peer counts as reachable.
 MESSAGES_UNTIL_UP: Final = 2
+# Addresses in one referral.
 REFERRAL_LIMIT: Final = 6
 
 
 class MessageSource(Struct, frozen=True):
-    """Say when, from whom and over which link a message came."""
+    """Hold when, from which node and over which link a message came."""
 
     now: float
     sender: str
@@ -37,12 +39,12 @@
 
 @singledispatch
 def handle_message(message: object, core: Core, source: MessageSource) -> None:
-    """React to a message; unknown kinds were refused by the codec."""
+    """Handle a message; the codec has refused unknown kinds."""
     raise TypeError(type(message).__name__)
 
 
 def receive_message(core: Core, now: float, received: Received) -> None:
-    """Note that the sender lives and react to its message."""
+    """Record that the sender is alive and handle its message."""
     if received.sender == core.own.record.name:
         core.count('own-name')
         return
@@ -51,10 +53,10 @@
     source = MessageSource(now, received.sender, received.incarnation, link)
     if held and received.incarnation < held.incarnation:
         core.count(Refusal.STALE_SENDER)
-        _tell_stale(core, received, source)
+        _answer_stale_sender(core, received, source)
         return
     if link is not None:
-        _note_sign(core, link, source)
+        _record_received(core, link, source)
     handle_message(received.message, core, source)
 
 
@@ -73,7 +75,7 @@
     if link.name != source.sender:
         core.links.set_name(link, source.sender)
         link.received_in_row = 0
-        _note_sign(core, link, source)
+        _record_received(core, link, source)
     link.locality = message.locality
     if message.asks:
         core.outbox.send(link.address, build_hello(core, asks=False))
@@ -96,11 +98,11 @@
 
 @handle_message.register
 def _(message: Statements, core: Core, source: MessageSource) -> None:
-    for statement in message.statements:
-        receive_update(core, source.now, statement, source.link)
+    for update in message.updates:
+        receive_update(core, source.now, update, source.link)
 
 
-def _note_sign(core: Core, link: Link, source: MessageSource) -> None:
+def _record_received(core: Core, link: Link, source: MessageSource) -> None:
     if link.incarnation != source.incarnation:
         link.incarnation = source.incarnation
         link.ready = False
@@ -115,7 +117,7 @@
 
 
 def _refer(core: Core, asker: Address) -> None:
-    """Name a few members that differ from asker to asker."""
+    """Send a refused node a few other members, different for each asker."""
     core.count('referred')
     members = sorted(
         (core.book.records[name].link for name in core.book.alive),
@@ -127,10 +129,12 @@
     core.outbox.disconnect(asker)
 
 
-def _tell_stale(core: Core, received: Received, source: MessageSource) -> None:
-    """Tell a node of an earlier life what the fleet remembers of it.
+def _answer_stale_sender(
+    core: Core, received: Received, source: MessageSource
+) -> None:
+    """Send a node of an earlier incarnation the newest record of its name.
 
-    A node whose clock was set back learns by this to raise its incarnation.
+    A node whose clock was set back then raises its incarnation.
     """
     held = core.book.get(Kind.MEMBER, received.sender)
     if not isinstance(received.message, Hello) or held is None:
--- a/hillfield/fleet/messages.py
+++ b/hillfield/fleet/messages.py
@@ -1,8 +1,8 @@
-"""Messages between nodes; all that crosses a link is one of these.
+"""The messages that nodes send over links.
 
-Each is a frozen data class of msgspec, coded by position. The protocol's
-version stands in the envelope: a change of a message here raises it, unless it
-only adds fields with defaults at the end, which earlier nodes leave unread.
+Each is a frozen msgspec struct whose fields are encoded by position. A change
+of a message requires a new protocol version in the envelope, unless it only
+adds fields with defaults at the end, which earlier nodes ignore.
 """
 
 from msgspec import Struct
@@ -12,7 +12,7 @@
 
 
 class Hello(Struct, frozen=True, array_like=True, tag=1):
-    """Ask for a link, or grant it when `asks` is False."""
+    """Request a link, or grant it if `asks` is False."""
 
     link: Address
     locality: Locality
@@ -26,11 +26,11 @@
 
 
 class Heartbeat(Struct, frozen=True, array_like=True, tag=3):
-    """Say that the sender lives, and sum up what it knows in two hashes.
+    """Show that the sender is alive, with hashes of its state and entries.
 
-    `newest` is the newest revision of its entries; `read_age_ms` is how many
+    `newest` is the newest revision of its entries; `read_age_ms` how many
     milliseconds ago these were known to be all that the store holds (None:
-    not known), `read_failed` that it has tried since to read the store.
+    not known); `read_failed` whether a read of the store has failed since.
     """
 
     state_hash: int
@@ -42,10 +42,10 @@
 
 
 class Statement(Struct, frozen=True, array_like=True):
-    """Carry what one node says; only the named node writes it.
+    """Carry a part of one node's state; only that node writes it.
 
     `kind` is one of the letters of `hillfield.fleet.records.Kind`. Of two
-    statements with one kind and name the higher incarnation and version is
+    updates with one kind and name the higher incarnation and version is
     newer.
     """
 
@@ -57,24 +57,24 @@
 
     @property
     def order(self) -> tuple[int, int]:
-        """Return what grows with each newer statement."""
+        """Return a key that is higher for each newer update."""
         return self.incarnation, self.version
 
 
 class Statements(Struct, frozen=True, array_like=True, tag=4):
-    """Pass statements on."""
+    """Carry state updates, the sender's own or forwarded ones."""
 
-    statements: tuple[Statement, ...]
+    updates: tuple[Statement, ...]
 
 
 class Entries(Struct, frozen=True, array_like=True, tag=5):
-    """Answer `Want` with entries of the configuration."""
+    """Answer a `Want` with configuration entries."""
 
     entries: tuple[Entry, ...]
 
 
 class Version(Struct, frozen=True, array_like=True):
-    """Say which version of a key the sender holds."""
+    """Name the version of a key that the sender holds."""
 
     key: str
     incarnation: int
@@ -82,20 +82,20 @@
 
 
 class Have(Struct, frozen=True, array_like=True, tag=6):
-    """Announce newly adopted entries; whoever lacks them asks."""
+    """Announce adopted entries, for peers that lack them to request."""
 
     versions: tuple[Version, ...]
 
 
 class Want(Struct, frozen=True, array_like=True, tag=7):
-    """Ask for the values of keys."""
+    """Request the values of keys."""
 
     subject: int
     keys: tuple[str, ...]
 
 
 class Hashes(Struct, frozen=True, array_like=True, tag=8):
-    """Sum up a subject by bucket, so that differences are found.
+    """Carry the hash of each bucket of a subject.
 
     The peer answers with its versions in up to `limit` differing buckets.
     """
@@ -114,7 +114,7 @@
 
 
 class Referral(Struct, frozen=True, array_like=True, tag=10):
-    """Decline a link and name others to ask instead."""
+    """Refuse a link and name other nodes to ask instead."""
 
     links: tuple[Address, ...]
 
--- a/hillfield/fleet/openrelay.py
+++ b/hillfield/fleet/openrelay.py
@@ -1,8 +1,8 @@
-"""Meet peers by one key a node, and feed the fleet without leases.
+"""Discover peers by one store key per node, and watch the store without leases.
 
-For a store whose calls are dear: who follows the store is agreed by what
-the nodes tell each other. Two that follow it for the same slot do no harm;
-the later by rank stops.
+For a store whose calls are expensive: which nodes watch it follows from the
+records that nodes publish, not from the store. Two watchers for the same
+slot do no harm; the one with the higher rank number stops.
 """
 
 import asyncio
@@ -25,26 +25,29 @@
 from hillfield.store.retries import Circuit, RetrySettings
 from hillfield.timers import find_timer
 
-# Seconds between looks at who follows the store.
+# Seconds between checks of which nodes watch the store.
 CHECK_INTERVAL: Final = 0.3
-# Seconds that a node which hears peers gives the others to tell of theirs.
+# Seconds before a started node claims a slot, so that it first receives the
+# records of nodes that hold one.
 START_DELAY: Final = 2.0
-# Part of the leased relays' turn: a second follower here does no harm.
+# Share of the wait that leased relays use between claims: a second watcher of
+# a slot does no harm here.
 CLAIM_WAIT_FACTOR: Final = 0.3
-# Seconds without a peer after which the store is asked for peers again; it
-# doubles up to the longest.
+# Seconds without a reachable peer before the registered addresses are read
+# again; they double up to the limit.
 DISCOVERY_PAUSE: Final = 2.0
 DISCOVERY_PAUSE_LIMIT: Final = 30.0
-# Seconds between looks at whether to read the store, by followers and others.
+# Seconds between checks of whether to read the store, by watchers and others.
 WATCHER_CHECK_INTERVAL: Final = 0.1
 READ_CHECK_INTERVAL: Final = 0.2
-# Seconds after which a reading that failed is repeated; it doubles up to the
-# longest. That the store is back is noticed by followers, and told by them: of
-# the others only those need to try that hear none, and they soon follow it.
+# Seconds before a failed read is repeated; they double up to the limit.
+# Watchers notice when the store is back and disseminate that. Other nodes need
+# to try only while they reach no watcher, and then soon become watchers.
 READ_RETRY_PAUSE: Final = 0.5
 WATCHER_RETRY_LIMIT: Final = 4.0
 READ_RETRY_LIMIT: Final = 120.0
-# The first calls of a node are repeated soon: nothing is served without.
+# Seconds. A node's first calls are retried soon: it serves nothing before they
+# succeed.
 FIRST_RETRY_WAIT: Final = 0.3
 LONGEST_RETRY_WAIT: Final = 2.0
 TRIAL: Final = 3.0
@@ -54,7 +57,7 @@
 
 
 class OpenRelay:
-    """Bridge the store and the fleet for as long as `run` runs."""
+    """Feed the store's entries to the fleet for as long as `run` runs."""
 
     def __init__(
         self,
@@ -64,13 +67,13 @@
         random: Random,
         journal: Journal,
     ) -> None:
-        """Do nothing yet."""
+        """Create a watcher that does nothing before `run`."""
         self._fleet = fleet
         self._random = random
         self._journal = journal
         self._circuit = Circuit(RETRIES, random)
         self._loaded = asyncio.Event()
-        self._met = asyncio.Event()
+        self._joined = asyncio.Event()
         self._crossing = Backoff(DISCOVERY_PAUSE, DISCOVERY_PAUSE_LIMIT)
         self._feed = StoreFeed(
             fleet,
@@ -79,7 +82,7 @@
             random,
             journal,
         )
-        self._introductions = PeerDiscovery(
+        self._discovery = PeerDiscovery(
             fleet,
             store,
             self._feed,
@@ -87,101 +90,103 @@
         )
 
     async def run(self) -> None:
-        """Load the configuration, meet peers, take turns; until cancelled."""
+        """Load the configuration, find peers and claim slots until cancelled."""
         async with asyncio.TaskGroup() as group:
             group.create_task(self._start())
             group.create_task(self._keep_fresh())
-            group.create_task(self._take_turns())
+            group.create_task(self._claim_slots())
 
     async def _start(self) -> None:
-        await self._insist(self._feed.load)
+        await self._retry(self._feed.load)
         self._loaded.set()
-        await self._insist(self._introductions.join)
-        self._met.set()
-        await self._keep_in_touch()
+        await self._retry(self._discovery.join)
+        self._joined.set()
+        await self._keep_peers()
 
-    async def _keep_in_touch(self) -> None:
-        """Look for peers in the store while no neighbour is heard."""
-        seeking = Backoff(DISCOVERY_PAUSE, DISCOVERY_PAUSE_LIMIT)
+    async def _keep_peers(self) -> None:
+        """Read registered addresses while no neighbour is reachable."""
+        discovering = Backoff(DISCOVERY_PAUSE, DISCOVERY_PAUSE_LIMIT)
         while True:
             await find_timer().pause(CHECK_INTERVAL)
-            heard = self._fleet.state.core.heard_links()
-            if seeking.is_due(monotonic(), well=bool(heard)):
-                await self._introductions.discover()
+            reachable = self._fleet.state.core.heard_links()
+            if discovering.is_due(monotonic(), succeeded=bool(reachable)):
+                await self._discovery.discover()
 
     async def _keep_fresh(self) -> None:
-        """Read the store when what is known of it gets too old."""
+        """Read the store when the node's entries get too old."""
         await self._loaded.wait()
-        following = Backoff(READ_RETRY_PAUSE, WATCHER_RETRY_LIMIT)
-        reading = Backoff(READ_RETRY_PAUSE, READ_RETRY_LIMIT)
+        as_watcher = Backoff(READ_RETRY_PAUSE, WATCHER_RETRY_LIMIT)
+        as_other = Backoff(READ_RETRY_PAUSE, READ_RETRY_LIMIT)
         while True:
             core = self._fleet.state.core
-            follows = bool(core.own.record.relay_of)
-            pause = following if follows else reading
+            watches = bool(core.own.record.relay_of)
+            backoff = as_watcher if watches else as_other
             await find_timer().pause(
-                WATCHER_CHECK_INTERVAL if follows else READ_CHECK_INTERVAL
+                WATCHER_CHECK_INTERVAL if watches else READ_CHECK_INTERVAL
             )
             now = monotonic()
-            if pause.is_due(now, well=not is_read_due(core, now)):
+            if backoff.is_due(now, succeeded=not is_read_due(core, now)):
                 await self._read()
 
     async def _read(self) -> None:
-        """Read the store, and say so where no follower has."""
+        """Read the store; record an event if this node is no watcher."""
         core = self._fleet.state.core
         if not core.own.record.relay_of:
             age = find_age(core, monotonic())
-            heard = len(core.heard_links())
-            detail = f'{age:.1f} s old, {heard} neighbours heard'
+            reachable = len(core.heard_links())
+            detail = f'{age:.1f} s old, {reachable} reachable neighbours'
             self._journal.record(
                 Occurrence(EventCode.STORE_NOT_FOLLOWED, detail=detail),
             )
         await self._feed.load()
 
-    async def _insist(self, step: Step) -> None:
-        """Take a step again and again until it succeeds."""
+    async def _retry(self, step: Step) -> None:
+        """Repeat a step, with pauses, until it succeeds."""
         while not await step():
             self._circuit.note_failure(monotonic())
             await asyncio.sleep(self._circuit.find_wait(monotonic()))
         self._circuit.note_success()
 
-    async def _take_turns(self) -> None:
-        await self._met.wait()
-        if not self._introductions.ranks_for_slot():
+    async def _claim_slots(self) -> None:
+        await self._joined.wait()
+        if not self._discovery.ranks_for_slot():
             await asyncio.sleep(START_DELAY * self._random.uniform(0.5, 1))
         while True:
-            opened = find_open_slot(self._fleet.state.core)
-            if opened is not None:
-                await asyncio.sleep(opened.wait * CLAIM_WAIT_FACTOR)
+            open_slot = find_open_slot(self._fleet.state.core)
+            if open_slot is not None:
+                await asyncio.sleep(open_slot.wait * CLAIM_WAIT_FACTOR)
                 again = find_open_slot(self._fleet.state.core)
-                if again is not None and again.slot == opened.slot:
-                    await self._hold(opened.slot)
+                if again is not None and again.slot == open_slot.slot:
+                    await self._hold(open_slot.slot)
             await find_timer().pause(CHECK_INTERVAL)
 
     async def _hold(self, slot: str) -> None:
-        """Follow the store until another node does so in our place."""
+        """Watch the store until a node of lower rank does so for this slot."""
         state = self._fleet.state
         state.set_relay_slot(slot)
         self._journal.record(Occurrence(EventCode.RELAY_STARTED, peer=slot))
-        self._introductions.dial_other_domains()
+        self._discovery.dial_other_domains()
         feeding = asyncio.create_task(self._feed.run())
-        try:  # noqa: WPS501 -- cancelled or not, the feed must end
-            while not self._has_better(slot):
+        try:  # noqa: WPS501 -- the feed ends also when cancelled
+            while not self._is_outranked(slot):
                 await find_timer().pause(CHECK_INTERVAL)
-                await self._cross()
+                await self._reach_other_domains()
         finally:
-            await _end(feeding)
+            await _cancel(feeding)
             state.set_relay_slot('')
         self._journal.record(Occurrence(EventCode.RELAY_ENDED, peer=slot))
 
-    async def _cross(self) -> None:
-        """Look for other failure domains until one of them is heard."""
+    async def _reach_other_domains(self) -> None:
+        """Dial nodes of other failure domains until one is reachable."""
         core = self._fleet.state.core
-        if self._crossing.is_due(monotonic(), well=reaches_other_domain(core)):
-            await self._introductions.discover()
-            self._introductions.dial_other_domains()
-
-    def _has_better(self, slot: str) -> bool:
-        """Tell whether a live node of a lower rank follows for the slot."""
+        if self._crossing.is_due(
+            monotonic(), succeeded=reaches_other_domain(core)
+        ):
+            await self._discovery.discover()
+            self._discovery.dial_other_domains()
+
+    def _is_outranked(self, slot: str) -> bool:
+        """Return whether a live node of a lower rank holds the slot too."""
         core = self._fleet.state.core
         mine = rank_of(slot, core.settings.name)
         return any(
@@ -192,7 +197,7 @@
 
 
 def reaches_other_domain(core: Core) -> bool:
-    """Tell whether a peer of another failure domain is heard."""
+    """Return whether a peer of another failure domain is reachable."""
     home = core.settings.locality.failure_domain
     return any(
         link.locality is not None and link.locality.failure_domain != home
@@ -204,6 +209,6 @@
     return record.relay_of == slot
 
 
-async def _end(feeding: asyncio.Task[None]) -> None:
+async def _cancel(feeding: asyncio.Task[None]) -> None:
     feeding.cancel()
     await asyncio.gather(feeding, return_exceptions=True)
--- a/hillfield/fleet/outages.py
+++ b/hillfield/fleet/outages.py
@@ -1,8 +1,8 @@
-"""Measure how a fleet of states takes great losses and small changes.
+"""Measure how a fleet of states handles large losses and small changes.
 
-States are plain objects in one process and time is a number: what is
-measured are messages, bytes and the fleet's own seconds, with steps of 0.1 s
-in which each node passes on what came before.
+States are plain objects in one process and time is a number: messages, bytes
+and simulated seconds are measured, in steps of 0.1 s in which each node
+forwards what came in the step before.
 """
 
 from itertools import product
@@ -39,12 +39,12 @@
 
 
 class DomainLoss(Struct, frozen=True):
-    """Hold what the loss of a failure domain cost each survivor.
+    """Hold the cost of the loss of a failure domain for each survivor.
 
-    `settled` counts the seconds until all had taken the lost nodes out,
-    `bytes_in_window` what each received in the 3 s with the most,
-    `quiet_in_window` the same in 3 s without changes, `targets_kept` how
-    many survivors still used a lost host's targets 11 s after that.
+    `settled` is the number of seconds until all had removed the lost nodes,
+    `bytes_in_window` the bytes that each received in the busiest 3 s,
+    `quiet_in_window` those in 3 s without changes, `targets_kept` how many
+    survivors still listed a lost host's targets 11 s after `settled`.
     """
 
     nodes: int
@@ -56,10 +56,10 @@
 
 
 class Merge(Struct, frozen=True):
-    """Hold what it took two regions to be one again.
+    """Hold the cost of merging two regions after a partition.
 
-    `members` and `entries` are the seconds after the path was healed until
-    each node knew all, `received_bytes` what each received until then.
+    `members` and `entries` are the seconds after its end until each node had
+    all of them, `received_bytes` the bytes that each received until then.
     """
 
     nodes: int
@@ -70,11 +70,11 @@
 
 
 def measure_domain_loss(nodes: int) -> DomainLoss:
-    """Take one of eight failure domains away at once, without a word."""
+    """Remove one of eight failure domains at once, without goodbyes."""
     mesh = _start(nodes)
     quiet = count_received_bytes(mesh, WINDOW)
-    everyone = tuple(mesh.states)
-    lost = everyone[LOST_DOMAIN::DOMAINS]
+    addresses = tuple(mesh.states)
+    lost = addresses[LOST_DOMAIN::DOMAINS]
     for address in lost:
         mesh.remove(address)
     remaining = len(mesh.states)
@@ -91,30 +91,30 @@
         settled=settled,
         bytes_in_window=find_busiest_window(samples) / remaining,
         quiet_in_window=quiet / nodes,
-        targets_kept=_count_targets_of(mesh, lost),
+        targets_kept=_count_with_targets(mesh, lost),
     )
 
 
 def measure_drain(nodes: int) -> float:
-    """Return the longest seconds until all know a drained target."""
+    """Return the seconds until all nodes know a drained target, at most."""
     mesh = _start(nodes)
     stride = nodes // DRAINS
-    everyone = tuple(mesh.states)
-    return max(_drain(mesh, address) for address in everyone[::stride])
+    addresses = tuple(mesh.states)
+    return max(_drain(mesh, address) for address in addresses[::stride])
 
 
 def measure_merge(nodes: int, apart: float) -> Merge:
-    """Keep two regions apart, change each, heal, and wait for one fleet."""
+    """Partition two regions, change each, heal, and wait for the merge."""
     mesh = _start(nodes)
-    homes = _part_regions(mesh)
+    states = _partition_regions(mesh)
     mesh.run(apart)
-    for home, key in zip(homes, KEYS, strict=True):
-        home.submit(Entry(key, 2, key.encode()))
+    for state, key in zip(states, KEYS, strict=True):
+        state.submit(Entry(key, 2, key.encode()))
     mesh.run(WINDOW)
     before = mesh.carried_bytes
     mesh.cut.clear()
     members = wait_until(mesh, have_all_members)
-    entries = members + wait_until(mesh, _all_entries)
+    entries = members + wait_until(mesh, _have_entries)
     return Merge(
         nodes=nodes,
         apart=apart,
@@ -130,10 +130,10 @@
     return mesh
 
 
-def _part_regions(mesh: Mesh) -> tuple[FleetState, FleetState]:
-    """Cut the regions off from each other; return a node of each."""
-    everyone = tuple(mesh.states)
-    east, west = everyone[::REGIONS], everyone[1::REGIONS]
+def _partition_regions(mesh: Mesh) -> tuple[FleetState, FleetState]:
+    """Partition the regions; return a node of each."""
+    addresses = tuple(mesh.states)
+    east, west = addresses[::REGIONS], addresses[1::REGIONS]
     mesh.cut.update(product(east, west))
     mesh.cut.update(product(west, east))
     return mesh.states[east[0]], mesh.states[west[0]]
@@ -141,31 +141,31 @@
 
 def _drain(mesh: Mesh, address: Address) -> float:
     state = mesh.states[address]
-    found = tuple(
+    own_targets = tuple(
         target
         for target in state.core.view.targets()
         if target.locality == state.core.settings.locality
     )
-    drained = replace(found[0], state=TargetState.DRAINING)
-    state.publish_targets(mesh.now, (drained, *found[1:]))
-    return wait_until(mesh, lambda fleet: _all_know(fleet, drained))
+    drained = replace(own_targets[0], state=TargetState.DRAINING)
+    state.publish_targets(mesh.now, (drained, *own_targets[1:]))
+    return wait_until(mesh, lambda fleet: _have_target(fleet, drained))
 
 
-def _all_know(mesh: Mesh, drained: Target) -> bool:
+def _have_target(mesh: Mesh, drained: Target) -> bool:
     return all(
         drained in state.core.view.targets_of(drained.id.service)
         for state in mesh.states.values()
     )
 
 
-def _all_entries(mesh: Mesh) -> bool:
+def _have_entries(mesh: Mesh) -> bool:
     return all(
         min(map(state.core.ledger.revision_of, KEYS)) > 0
         for state in mesh.states.values()
     )
 
 
-def _count_targets_of(mesh: Mesh, lost: tuple[Address, ...]) -> int:
+def _count_with_targets(mesh: Mesh, lost: tuple[Address, ...]) -> int:
     names = {name_of(address.port - FIRST_PORT) for address in lost}
     return sum(
         any(state.core.view.lists_node(name) for name in names)
--- a/hillfield/fleet/outbox.py
+++ b/hillfield/fleet/outbox.py
@@ -1,4 +1,4 @@
-"""What the state asks for, with small messages gathered into batches."""
+"""Effects requested by the state, with small messages put into batches."""
 
 from dataclasses import dataclass, field
 from math import inf
@@ -17,16 +17,18 @@
 from hillfield.fleet.settings import FleetSettings
 from hillfield.model import Address
 
+# State updates or offers that wait for one link; further ones are dropped and
+# found later by anti-entropy.
 BATCH_LIMIT: Final = 4096
-# Seconds that statements are gathered for each live node: where more nodes
-# may change, more changes share a message, and a neighbour's own copy comes
-# before ours is sent. No choice of a target waits for a statement.
+# Seconds per live node for which state updates are batched. In a larger fleet
+# more changes then share a message, and a neighbour's copy of an update comes
+# before this node would send its own. No request waits for an update.
 GATHER_SECONDS_PER_NODE: Final = 0.001
 
 
 @dataclass(slots=True)
 class Batch:
-    """Hold what waits for one link; a newer statement replaces an older."""
+    """Hold what waits for one link; a newer update replaces an older one."""
 
     updates: dict[str, Statement] = field(default_factory=dict)
     versions: dict[str, Version] = field(default_factory=dict)
@@ -34,18 +36,18 @@
 
 @dataclass(slots=True)
 class BatchQueue:
-    """Hold the batches that are sent together, `interval` seconds apart."""
+    """Hold batches that are sent together, `interval` seconds apart."""
 
     interval: float
     batches: dict[Address, Batch] = field(default_factory=dict)
     flushed: float = -inf
 
     def get_batch(self, peer: Address) -> Batch:
-        """Return the batch that waits for a peer."""
+        """Return the batch for a peer."""
         return self.batches.setdefault(peer, Batch())
 
     def pop_due(self, now: float) -> dict[Address, Batch]:
-        """Return the batches if they are due."""
+        """Remove and return the batches if they are due."""
         if not self.batches or now - self.flushed < self.interval:
             return {}
         self.flushed = now
@@ -55,24 +57,24 @@
 
 
 class Outbox:
-    """Gather effects until they are taken."""
+    """Collect effects until `pop_effects`."""
 
     def __init__(self, settings: FleetSettings) -> None:
         """Start empty."""
         self._settings = settings
         self._effects: list[Effect] = []
-        self._prompt = BatchQueue(settings.flush_after)
-        self._news = BatchQueue(settings.flush_after)
-        self._dear = BatchQueue(settings.dear_flush_after)
-        self._lanes = (self._prompt, self._news, self._dear)
+        self._offers = BatchQueue(settings.flush_after)
+        self._updates = BatchQueue(settings.flush_after)
+        self._cross_domain = BatchQueue(settings.dear_flush_after)
+        self._queues = (self._offers, self._updates, self._cross_domain)
 
     def set_node_count(self, nodes: int) -> None:
-        """Gather statements for as long as so many live nodes ask for."""
-        gathered = nodes * GATHER_SECONDS_PER_NODE
-        self._news.interval = max(self._settings.flush_after, gathered)
+        """Set the batching interval of updates by the number of live nodes."""
+        interval = nodes * GATHER_SECONDS_PER_NODE
+        self._updates.interval = max(self._settings.flush_after, interval)
 
     def send(self, peer: Address, message: Message) -> None:
-        """Send a message now."""
+        """Send a message with the next effects, not batched."""
         self._effects.append(SendTo(peer, message))
 
     def dial(self, peer: Address) -> None:
@@ -80,9 +82,9 @@
         self._effects.append(Dial(peer))
 
     def disconnect(self, peer: Address) -> None:
-        """Close a link and forget what waits for it."""
-        for lane in self._lanes:
-            lane.batches.pop(peer, None)
+        """Close a link and drop its batches."""
+        for queue in self._queues:
+            queue.batches.pop(peer, None)
         self._effects.append(Disconnect(peer))
 
     def report(self, occurrence: Occurrence) -> None:
@@ -92,36 +94,36 @@
     def queue_update(
         self,
         peer: Address,
-        statement: Statement,
+        update: Statement,
         *,
-        dear: bool = False,
+        cross_domain: bool = False,
     ) -> None:
-        """Send a statement with the next batch; dear ones wait for more."""
-        lane = self._dear if dear else self._news
-        waiting = lane.get_batch(peer).updates
+        """Add an update to the next batch of its kind of link."""
+        queue = self._cross_domain if cross_domain else self._updates
+        waiting = queue.get_batch(peer).updates
         if len(waiting) < BATCH_LIMIT:
-            waiting[statement.kind + statement.name] = statement
+            waiting[update.kind + update.name] = update
 
     def drop_known(self, peer: Address, known: Statement) -> None:
-        """Don't send a peer what it has just sent itself, or older."""
+        """Drop an update to a peer that has just sent the same or a newer one."""
         key = known.kind + known.name
-        for lane in (self._news, self._dear):
-            if peer not in lane.batches:
+        for queue in (self._updates, self._cross_domain):
+            if peer not in queue.batches:
                 continue
-            batch = lane.batches[peer].updates
+            batch = queue.batches[peer].updates
             if key in batch and batch[key].order <= known.order:
                 batch.pop(key)
 
     def queue_offer(self, peer: Address, version: Version) -> None:
         """Announce an entry with the next batch."""
-        waiting = self._prompt.get_batch(peer).versions
+        waiting = self._offers.get_batch(peer).versions
         if len(waiting) < BATCH_LIMIT:
             waiting[version.key] = version
 
     def pop_effects(self, now: float) -> tuple[Effect, ...]:
-        """Return the effects, with the batches when they are due."""
-        for lane in self._lanes:
-            for peer, batch in lane.pop_due(now).items():
+        """Remove and return the effects, with the batches that are due."""
+        for queue in self._queues:
+            for peer, batch in queue.pop_due(now).items():
                 self._flush(peer, batch)
         effects = tuple(self._effects)
         self._effects = []
--- a/hillfield/fleet/pages.py
+++ b/hillfield/fleet/pages.py
@@ -1,4 +1,4 @@
-"""Cut long answers into pages, so that no message grows with the fleet."""
+"""Split long answers into pages, so that messages don't grow with the fleet."""
 
 from collections.abc import Iterator
 from typing import Final, Protocol, TypeVar
@@ -7,7 +7,7 @@
 
 
 class Sized(Protocol):
-    """Have a payload, which makes up most of the size."""
+    """A row whose payload makes up most of its size."""
 
     @property
     def payload(self) -> bytes:
--- a/hillfield/fleet/peer_discovery.py
+++ b/hillfield/fleet/peer_discovery.py
@@ -1,4 +1,4 @@
-"""Make a node known in the store, and find its first peers there."""
+"""Register a node's address in the store, and discover its first peers there."""
 
 from collections.abc import Iterator, Sequence
 from random import Random
@@ -15,19 +15,20 @@
 from hillfield.store.paging import Span, read_span
 from hillfield.store.ports import Accepted, Change, Conflict, Store, StoredValue
 
-# Peers that a node tries first: in its own failure domain, and for a holder
-# of a slot in each other one. With two there, 31 nodes that start together
-# tell 2.25 MB across in 3 s and know all targets no sooner than with one and
-# 1.19 MB (modelled).
+# Peers that a node dials first: in its own failure domain, and, if it holds a
+# relay slot, in each other one. In a model of 31 nodes that start together,
+# dialling two in each other domain sends 2.25 MB between domains in 3 s instead
+# of 1.19 MB, and all targets are known no sooner.
 LOCAL_PEERS_DIALLED: Final = 2
 REMOTE_PEERS_DIALLED: Final = 1
-# Registered peers of the own failure domain of which some will live: of three
-# that are picked at random all are gone once in eight times when half are.
+# Registered peers of the own failure domain that are enough to find a live one:
+# if half of all nodes are gone, three random ones are all gone in one of eight
+# cases.
 LOCAL_PEERS_NEEDED: Final = 3
 
 
 class Registration(Struct, frozen=True):
-    """Say where a node of a failure domain listens for links."""
+    """Hold the address at which a node listens for links."""
 
     domain: str
     name: str
@@ -35,7 +36,7 @@
 
 
 class PeerDiscovery:
-    """Write where this node listens, and read where others do."""
+    """Register this node's address, and dial registered peers."""
 
     def __init__(
         self,
@@ -44,64 +45,65 @@
         feed: StoreFeed,
         random: Random,
     ) -> None:
-        """Do nothing yet; the feed takes note of failed calls."""
+        """Make no store calls yet; the feed reports failed ones."""
         self._fleet = fleet
         self._store = store
         self._feed = feed
         self._random = random
         self._registered: tuple[Registration, ...] = ()
-        self._asked = False
+        self._has_dialled = False
         self._own_domain = fleet.settings.locality.failure_domain
 
     def dial_other_domains(self) -> None:
-        """Offer a few nodes of each other failure domain as peers."""
+        """Dial a few nodes of each other failure domain."""
         domains = {registered.domain for registered in self._registered}
         for domain in sorted(domains - {self._own_domain}):
-            self._offer(domain, REMOTE_PEERS_DIALLED)
+            self._dial_random(domain, REMOTE_PEERS_DIALLED)
 
     async def join(self) -> bool:
-        """Register this node and offer some peers; False: to be repeated.
+        """Register this node and dial some peers; return False to be retried.
 
-        What others registered some seconds ago is enough for a node that
-        starts again in a fleet: then its own address stands there as well,
-        and one cheap reading takes the place of a write and a dear one.
+        For a node that restarts in a running fleet, registrations that are
+        some seconds old are enough: they have its own address too, and one
+        cheap stale read replaces a write and an expensive consistent read.
         """
         if await self._read(stale=True):
             settings = self._fleet.settings
             own = Registration(self._own_domain, settings.name, settings.link)
             if is_registration_sufficient(own, self._registered):
-                self._offer_near()
+                self._dial_own_domain()
                 return True
         return await self.register() and await self.discover()
 
     async def register(self) -> bool:
-        """Write this node's link address where others look for it."""
+        """Write this node's link address to its key in the store."""
         settings = self._fleet.settings
         prefix = prefix_of(settings.cluster)
         key = f'{prefix}{self._own_domain}/{settings.name}'
         payload = str(settings.link).encode()
         conflict = await self._swap(Change(key, 0, payload))
-        standing = None if conflict is None else _find_current(conflict)
-        if standing is not None and standing.payload != payload:
-            # The address of an earlier life of this node.
-            again = Change(key, standing.revision, payload)
+        current = None if conflict is None else _find_current(conflict)
+        if current is not None and current.payload != payload:
+            # The address is of an earlier incarnation of this node.
+            again = Change(key, current.revision, payload)
             return await self._swap(again) == Conflict(())
         return conflict is not None
 
     async def discover(self) -> bool:
-        """Read the registered addresses and offer some as those of peers.
+        """Read the registered addresses and dial some of this failure domain.
 
-        Those of other failure domains are only for holders of a slot.
+        Only holders of a relay slot dial nodes of other failure domains.
         """
-        known = await self._read(stale=False)
-        if known:
-            self._offer_near()
-        return known
+        has_read = await self._read(stale=False)
+        if has_read:
+            self._dial_own_domain()
+        return has_read
 
     def ranks_for_slot(self) -> bool:
-        """Tell whether this node ranks high enough for one of the slots.
+        """Return whether this node's rank suffices for one of the slots.
 
-        A fresh fleet need not wait to hear of each other for that.
+        In a fleet that starts, such a node claims a slot without waiting for
+        the records of others.
         """
         slot = f'{self._own_domain}/0'
         ranked = sorted(
@@ -123,26 +125,26 @@
         self._registered = read_registrations(read.ok.entries)
         return True
 
-    def _offer_near(self) -> None:
-        """Dial the peers that this node would choose; after that any.
+    def _dial_own_domain(self) -> None:
+        """Dial the peers that this node would choose, later random ones.
 
-        Those that it would choose may all be gone.
+        The peers that it would choose may all be gone.
         """
-        if self._asked:
-            self._offer(self._own_domain, LOCAL_PEERS_DIALLED)
+        if self._has_dialled:
+            self._dial_random(self._own_domain, LOCAL_PEERS_DIALLED)
             return
-        self._asked = True
+        self._has_dialled = True
         peers = self._list_peers(self._own_domain)
-        found = {peer.name: peer for peer in peers}
-        ranked = rank_names(self._fleet.settings.name, found)
+        by_name = {peer.name: peer for peer in peers}
+        ranked = rank_names(self._fleet.settings.name, by_name)
         first = ranked[:LOCAL_PEERS_DIALLED]
-        self._dial([found[name] for name in first])
+        self._dial([by_name[name] for name in first])
 
-    def _offer(self, domain: str, most: int) -> None:
-        """Dial a few of a failure domain, others at each call."""
-        found = self._list_peers(domain)
-        count = min(most, len(found))
-        self._dial(self._random.sample(found, count))
+    def _dial_random(self, domain: str, limit: int) -> None:
+        """Dial a few random nodes of a failure domain."""
+        peers = self._list_peers(domain)
+        count = min(limit, len(peers))
+        self._dial(self._random.sample(peers, count))
 
     def _list_peers(self, domain: str) -> list[Registration]:
         name = self._fleet.settings.name
@@ -155,11 +157,15 @@
     def _dial(self, chosen: Sequence[Registration]) -> None:
         now = monotonic()
         for registration in chosen:
-            # A node that has just started must not wait for its next turn.
+            # A node that has just started must not wait for its next attempt
+            # at remembered addresses.
             self._fleet.state.dial(now, registration.link)
 
     async def _swap(self, change: Change) -> Conflict | None:
-        """Write a key; return what stands in the way, None after an error."""
+        """Write a key; return the conflict, an empty one if there is none.
+
+        Return None after an error.
+        """
         swapped = await self._store.swap((change,))
         if swapped.is_error():
             self._feed.report_error(swapped.error)
@@ -171,9 +177,9 @@
     own: Registration,
     registered: tuple[Registration, ...],
 ) -> bool:
-    """Tell whether a node is registered, and enough peers near it are."""
-    near = sum(other.domain == own.domain for other in registered)
-    return own in registered and near > LOCAL_PEERS_NEEDED
+    """Return whether a node and enough peers of its domain are registered."""
+    local = sum(other.domain == own.domain for other in registered)
+    return own in registered and local > LOCAL_PEERS_NEEDED
 
 
 def _find_current(conflict: Conflict) -> StoredValue | None:
@@ -183,7 +189,7 @@
 def read_registrations(
     entries: tuple[StoredValue, ...],
 ) -> tuple[Registration, ...]:
-    """Read what nodes wrote; what can't be read is no node of this release.
+    """Parse registrations; skip keys that other releases use differently.
 
     >>> entry = StoredValue('/x/relays/hall-a/n1', 1, b'10.0.0.1:7380')
     >>> read_registrations((entry,))[0].domain
--- a/hillfield/fleet/peering/__init__.py
+++ b/hillfield/fleet/peering/__init__.py
@@ -1,1 +1,1 @@
-"""Which peers a node keeps links to, and how they are kept."""
+"""Selection of peers and maintenance of the links to them."""
--- a/hillfield/fleet/peering/cross_domain.py
+++ b/hillfield/fleet/peering/cross_domain.py
@@ -1,4 +1,4 @@
-"""Which links cross failure domains, and what is told over those."""
+"""Links between failure domains, and the updates sent over them."""
 
 from hillfield.fleet.core import Core
 from hillfield.fleet.messages import Statement
@@ -6,24 +6,25 @@
 
 
 def is_cross_domain(core: Core, link: Link) -> bool:
-    """Tell whether bytes over a link cross failure domains and are dear."""
+    """Return whether a link crosses failure domains and its bytes cost much."""
     if not core.settings.sparse or link.locality is None:
         return False
     return link.locality.failure_domain != _home(core)
 
 
-def is_update_sent(core: Core, link: Link, statement: Statement) -> bool:
-    """Tell whether a statement is told over a link at once.
+def is_update_sent(core: Core, link: Link, update: Statement) -> bool:
+    """Return whether an update is forwarded over a link.
 
-    Over a dear link go only statements of nodes of this failure domain, and
-    only from a holder of a relay slot: each domain tells the others its own
-    news. What they miss is found by the hashes of heartbeats.
+    Over a cross-domain link a node sends only updates of its own failure
+    domain, and only if it holds a relay slot: each domain publishes its own
+    changes to the others. Updates that they miss are found by the hashes in
+    heartbeats.
     """
     if not is_cross_domain(core, link):
         return True
     if not core.own.record.relay_of:
         return False
-    record = core.book.records.get(statement.name)
+    record = core.book.records.get(update.name)
     return record is None or record.locality.failure_domain == _home(core)
 
 
--- a/hillfield/fleet/peering/known_addresses.py
+++ b/hillfield/fleet/peering/known_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses at which a peer may be found, tried with growing pauses."""
+"""Addresses at which peers may listen, dialled with growing pauses."""
 
 from math import inf
 from typing import Final
@@ -10,14 +10,16 @@
 from hillfield.model import Address
 
 GROWTH: Final = 2
+# Seconds for which an address that is not a seed is remembered.
 ADDRESS_LIFETIME: Final = 7200.0
+# Addresses dialled at a time by a node without a reachable peer.
 ISOLATED_DIALS: Final = 3
 SPREAD_STEPS: Final = 128
 FAILURES_LIMIT: Final = 16
 
 
 class KnownAddress(Struct, frozen=True):
-    """Hold when an address was tried last, and how often in vain."""
+    """Hold when an address was last dialled, and its failures since."""
 
     last_tried: float
     failures: int
@@ -27,12 +29,12 @@
 class KnownAddresses:
     """Remember a bounded number of addresses.
 
-    After a region is lost each node keeps its own choice of the region's
-    addresses, so that together they keep them all.
+    After the loss of a region each node keeps a different subset of that
+    region's addresses, so that together they keep all of them.
     """
 
     def __init__(self, settings: FleetSettings) -> None:
-        """Start with the settings' seeds, which are never forgotten."""
+        """Add the seeds of the settings, which are never forgotten."""
         self._settings = settings
         self._known = {
             seed: KnownAddress(-inf, 0, inf)
@@ -59,31 +61,31 @@
             self._known.pop(address)
 
     def select_due(self, now: float, alone: bool) -> tuple[Address, ...]:
-        """Return the addresses to dial now and put off their next try."""
+        """Return the addresses to dial now and schedule their next attempt."""
         self._expire(now)
         ready = sorted(
             (known.last_tried, address)
             for address, known in self._known.items()
-            if now - known.last_tried >= self._find_pause(address, alone)
+            if now - known.last_tried >= self._compute_pause(address, alone)
         )
         chosen = ready[: ISOLATED_DIALS if alone else 1]
-        for _, turn in chosen:
-            self._put_off(now, turn)
+        for _, dialled in chosen:
+            self._postpone(now, dialled)
         return tuple(address for _, address in chosen)
 
-    def _find_pause(self, address: Address, alone: bool) -> float:
-        """Return the pause before the next try.
+    def _compute_pause(self, address: Address, alone: bool) -> float:
+        """Return the seconds between two attempts at an address.
 
-        A node that hears nobody tries more often: few nodes are alone at a
-        time, and all that it can do hangs on it.
+        A node without a reachable peer tries more often: few nodes are
+        isolated at a time, and such a node can do nothing else.
         """
         settings = self._settings
         growth = float(GROWTH ** self._known[address].failures)
         limit = settings.redial_alone if alone else settings.redial_limit
-        spread = 1 + self._rank_share(address)
+        spread = 1 + self._compute_spread(address)
         return min(settings.redial_after * growth, limit) * spread
 
-    def _put_off(self, now: float, address: Address) -> None:
+    def _postpone(self, now: float, address: Address) -> None:
         known = self._known[address]
         failures = min(known.failures + 1, FAILURES_LIMIT)
         self._known[address] = KnownAddress(now, failures, known.expires)
@@ -98,7 +100,7 @@
             return inf
         return self._hash(address)
 
-    def _rank_share(self, address: Address) -> float:
+    def _compute_spread(self, address: Address) -> float:
         return self._hash(address) % SPREAD_STEPS / SPREAD_STEPS
 
     def _hash(self, address: Address) -> int:
--- a/hillfield/fleet/peering/link_maintenance.py
+++ b/hillfield/fleet/peering/link_maintenance.py
@@ -1,4 +1,4 @@
-"""Keep a node's few links: open, beat, notice silence, close."""
+"""Maintain a node's links: open, send heartbeats, detect silence, close."""
 
 from typing import Final
 
@@ -19,24 +19,28 @@
 from hillfield.fleet.records import NodeRecord
 from hillfield.model import Address
 
-# Seconds between two looks from which a node tells its neighbours that it is
-# back: they may have lost it.
+# Seconds between two ticks from which a node sends its neighbours a hello:
+# they may have closed their links to it.
 PAUSE_NOTICED: Final = 1.5
+# Seconds between two choices of peers.
 SELECTION_INTERVAL: Final = 1.0
+# Seconds between two attempts at remembered addresses.
 DISCOVERY_INTERVAL: Final = 5.0
+# Age in seconds from which a dialled link that is not needed is closed.
 SURPLUS_LINK_AGE: Final = 30.0
+# Seconds for which the address of a silent peer is not dialled again.
 BAN_SECONDS: Final = 15.0
-# Seconds from when the store is to be read again until the first follower has
-# looked and read, and the news has come.
+# Seconds from the time at which a store read is due until the first watcher
+# has read the store and its heartbeats have come.
 READ_DURATION: Final = 0.15
 
 
 def handle_pause(core: Core, now: float) -> None:
-    """Forgive the neighbours the silence of our own pause, and ask anew.
+    """Discount this node's own pause, and request its links again after it.
 
-    What they said in it lies unread, also where it was a short one. Only the
-    end that dialled a link asks: one that is accepted at both ends would be
-    nobody's to close.
+    Messages that came during a pause, also a short one, are still unread.
+    Only the end that dialled a link requests it again: a link that both ends
+    had accepted would be closed by neither.
     """
     gap = now - core.times.ticked
     core.times.ticked = now
@@ -53,7 +57,7 @@
 
 
 def send_due_heartbeats(core: Core, now: float) -> None:
-    """Send heartbeats if it is time to, and a reading will not do it soon."""
+    """Send heartbeats if they are due and no store read will soon cause them."""
     if now - core.times.heartbeat_sent < core.settings.heartbeat:
         return
     if find_age(core, now) >= WATCHER_READ_AGE + READ_DURATION:
@@ -61,7 +65,7 @@
 
 
 def check_silence(core: Core, now: float) -> None:
-    """Stop hearing silent peers, later give up their links."""
+    """Mark silent peers as unreachable, and later close their links."""
     settings = core.settings
     for link in core.links:
         silence = now - link.last_activity
@@ -78,25 +82,25 @@
 
 
 def close_link(core: Core, link: Link) -> None:
-    """Give up a link."""
+    """Close a link with a goodbye to its peer."""
     core.outbox.send(link.address, Goodbye('closed'))
     core.links.close(link)
     core.outbox.disconnect(link.address)
 
 
 def update_reachable_peers(core: Core) -> None:
-    """Put into this node's record whom it hears."""
+    """Update the reachable peers in this node's record."""
     names = sorted(link.name for link in core.heard_links())
     if tuple(names) != core.own.record.receives_from:
         core.own.record = replace(core.own.record, receives_from=tuple(names))
 
 
 def maintain_links(core: Core, now: float) -> None:
-    """Open the links that the membership calls for."""
+    """Open links to the peers chosen from the membership."""
     if now - core.times.links_selected < SELECTION_INTERVAL:
         return
     core.times.links_selected = now
-    _seek(core, now)
+    _dial_remembered(core, now)
     banned = {peer for peer, until in core.banned_until.items() if until > now}
     core.banned_until = {peer: core.banned_until[peer] for peer in banned}
     others = tuple(
@@ -133,15 +137,15 @@
 
 
 def is_link_allowed(core: Core, record: NodeRecord) -> bool:
-    """Tell whether this node links to another one of its own accord."""
+    """Return whether this node may dial another one."""
     if not core.settings.sparse or core.own.record.relay_of:
         return True
     domain = core.settings.locality.failure_domain
     return record.locality.failure_domain == domain
 
 
-def _seek(core: Core, now: float) -> None:
-    """Try a few remembered addresses whose nodes aren't members now."""
+def _dial_remembered(core: Core, now: float) -> None:
+    """Dial a few remembered addresses whose nodes are no members now."""
     alone = not core.heard_links()
     if not alone and now - core.times.addresses_tried < DISCOVERY_INTERVAL:
         return
@@ -157,10 +161,10 @@
 
 
 def _close_surplus(core: Core, now: float, wanted: set[Address]) -> None:
-    heard = core.heard_links()
-    if not wanted <= {link.address for link in heard}:
+    reachable = core.heard_links()
+    if not wanted <= {link.address for link in reachable}:
         return
-    for link in heard:
+    for link in reachable:
         old = now - link.opened >= SURPLUS_LINK_AGE
         if link.dialled and old and link.address not in wanted:
             close_link(core, link)
--- a/hillfield/fleet/peering/link_table.py
+++ b/hillfield/fleet/peering/link_table.py
@@ -1,4 +1,4 @@
-"""A node's links as the state knows them."""
+"""The state of a node's links."""
 
 from collections.abc import Iterator
 from dataclasses import dataclass, field
@@ -9,14 +9,16 @@
 
 @dataclass(slots=True)
 class Link:
-    """Hold what is known of one link.
-
-    `last_received` is when its peer was heard last, `received_in_row` how many messages came
-    since it was last thought silent, `up` whether it is heard, `mismatches`
-    for how many heartbeats in a row its hash of a subject has differed from
-    ours. `confirmed` is when `entries_hash`, a hash, with `newest` as the newest
-    revision were all that the store held, `read_failed` whether the peer has
-    tried in vain to read it since.
+    """Hold the state of one link.
+
+    `last_received` is when the last message of the peer came,
+    `received_in_row` how many came since it was last silent, `up` whether the
+    peer is reachable. `mismatches` counts, by subject, the heartbeats in a row
+    whose hash differed from this node's. `confirmed` is when the entries of
+    `entries_hash`, with `newest` as their newest revision, were all that the
+    store held, `read_failed` whether a store read of the peer failed since.
+    `ready` is whether the peer has a complete configuration, `synced` whether
+    its entries have been the same as this node's.
     """
 
     address: Address
@@ -38,18 +40,18 @@
     read_failed: bool = False
 
     def discount_pause(self, now: float, seconds: float) -> None:
-        """Hold no silence of the last seconds against the peer."""
+        """Count this node's own pause not as silence of the peer."""
         self.last_received = min(now, self.last_received + seconds)
         self.opened = min(now, self.opened + seconds)
 
     @property
     def last_activity(self) -> float:
-        """Return when the link was opened or its peer heard."""
+        """Return when the link was opened or its last message came."""
         return max(self.opened, self.last_received)
 
 
 class LinkTable:
-    """Find links by their address or by the name of their peer."""
+    """Look up links by address or by the name of the peer."""
 
     def __init__(self) -> None:
         """Start without links."""
@@ -83,12 +85,12 @@
         return self._names.get(name)
 
     def set_name(self, link: Link, name: str) -> None:
-        """Note whom the link leads to."""
+        """Set the name of a link's peer."""
         if self._names.get(link.name) is link:
             self._names.pop(link.name)
         link.name = name
         self._names[name] = link
 
     def count_accepted(self) -> int:
-        """Return how many links others have asked for."""
+        """Return how many links were requested by other nodes."""
         return sum(not link.dialled for link in self._links.values())
--- a/hillfield/fleet/peering/selection.py
+++ b/hillfield/fleet/peering/selection.py
@@ -1,9 +1,9 @@
-"""Choose whom a node links to.
+"""Choose the peers to which a node opens links.
 
-Each node dials the next in the ring of its own failure domain, which holds
-the domain together, one in another failure domain and one in another region;
-rendezvous hashing picks those, so that the choice differs from node to node
-and a change of membership moves few links.
+Each node dials its successor in the ring of its failure domain, which keeps
+the domain connected, one node in another failure domain and one in another
+region. The latter two are picked by rendezvous hashing, so that the choice
+differs from node to node and a change of membership moves few links.
 """
 
 from collections.abc import Iterable
@@ -16,7 +16,7 @@
 
 
 class PeerCandidates(Struct, frozen=True):
-    """Hold the node that chooses and all that it may choose from."""
+    """Hold the choosing node, its possible peers and how many to choose."""
 
     own: NodeRecord
     others: tuple[NodeRecord, ...]
@@ -24,7 +24,7 @@
 
 
 def choose_peers(circle: PeerCandidates) -> tuple[NodeRecord, ...]:
-    """Return the nodes to link to, the most needed first."""
+    """Return the chosen peers, the most important first."""
     chosen: dict[str, NodeRecord] = {}
     for group in (
         _next_in_ring(circle),
@@ -42,10 +42,10 @@
 
 
 def rank_names(own_name: str, names: Iterable[str]) -> tuple[str, ...]:
-    """Return the names of a node's own failure domain, its likely peers first.
+    """Return the names of a node's failure domain in the order of choice.
 
-    They are in the order in which it would choose them if all were alive, so
-    that the links of a node that starts are those that it keeps.
+    It is the order that holds if all of them are alive, so that a node that
+    starts keeps its first links.
 
     >>> rank_names('b', ('c', 'a')) in (('a', 'c'), ('c', 'a'))
     True
@@ -56,7 +56,7 @@
 
 
 def _follow_ring(own_name: str, names: Iterable[str]) -> list[str]:
-    """Return the name that comes after a node's own in the ring, if any."""
+    """Return the name that follows a node's own in the ring, if any."""
     here = hash_text(own_name)
     ring = sorted(names, key=hash_text)
     after = [name for name in ring if hash_text(name) > here]
@@ -64,7 +64,7 @@
 
 
 def _weigh(own_name: str, name: str) -> int:
-    """Return how late a node chooses another by rendezvous hashing."""
+    """Return the rendezvous hash of two nodes; the lowest is chosen first."""
     return hash_text(f'{own_name}>{name}')
 
 
--- a/hillfield/fleet/publishing.py
+++ b/hillfield/fleet/publishing.py
@@ -11,23 +11,25 @@
 from hillfield.fleet.state_updates import publish
 from hillfield.model import Target
 
+# Pieces of evidence that one node publishes.
 EVIDENCE_LIMIT: Final = 32
+# Seconds between two publications of evidence.
 EVIDENCE_INTERVAL: Final = 1.0
 
 
 class Publisher:
-    """Hold what is to be published until it may be."""
+    """Hold targets and evidence until they may be published."""
 
     def __init__(self, core: Core) -> None:
-        """Publish by a core's book and links."""
+        """Publish to a core's state table and links."""
         self._core = core
         self._targets: tuple[Target, ...] | None = None
         self._evidence: tuple[Evidence, ...] = ()
-        self._said: tuple[Evidence, ...] = ()
-        self._said_at = -inf
+        self._published: tuple[Evidence, ...] = ()
+        self._published_at = -inf
 
     def update_targets(self, now: float, targets: tuple[Target, ...]) -> None:
-        """Publish these targets, at once or when the start has settled."""
+        """Publish these targets, once the node has run for `settle` seconds."""
         self._targets = tuple(
             replace(target, load=None)
             for target in sorted(targets, key=lambda target: target.id)
@@ -37,7 +39,7 @@
     def update_evidence(
         self, now: float, evidence: tuple[Evidence, ...]
     ) -> None:
-        """Publish this evidence, the most telling pieces if it is long."""
+        """Publish this evidence; of many pieces those with most failures."""
         worst = sorted(evidence, key=lambda piece: -piece.failures)
         self._evidence = tuple(worst[:EVIDENCE_LIMIT])
         self.publish_due(now)
@@ -47,9 +49,9 @@
         settings = self._core.settings
         if now - self._core.times.started >= settings.settle:
             self._publish_targets(now)
-        if now - self._said_at >= EVIDENCE_INTERVAL:
-            fading = now - self._said_at >= settings.evidence_life / 2
-            if self._evidence != self._said or (self._evidence and fading):
+        if now - self._published_at >= EVIDENCE_INTERVAL:
+            aging = now - self._published_at >= settings.evidence_life / 2
+            if self._evidence != self._published or (self._evidence and aging):
                 self._publish_evidence(now)
 
     def _publish_targets(self, now: float) -> None:
@@ -67,11 +69,11 @@
             publish(core, now, Kind.TARGETS, payload)
 
     def _publish_evidence(self, now: float) -> None:
-        self._said = self._evidence
-        self._said_at = now
+        self._published = self._evidence
+        self._published_at = now
         publish(
             self._core,
             now,
             Kind.EVIDENCE,
-            self._core.codec.encode_evidence(self._said),
+            self._core.codec.encode_evidence(self._published),
         )
--- a/hillfield/fleet/readiness.py
+++ b/hillfield/fleet/readiness.py
@@ -1,4 +1,4 @@
-"""Judge whether this node's configuration is new enough to serve by."""
+"""Decide whether this node's configuration is current enough to serve."""
 
 from typing import Final
 
@@ -9,16 +9,18 @@
 from hillfield.fleet.peering.link_table import Link
 from hillfield.fleet.records import NodeState
 
+# Neighbours, and failure domains of theirs, that must hold the same entries.
 SYNCED_PEERS_NEEDED: Final = 2
+# Seconds between two reports of what the node waits for.
 WAIT_REPORT_INTERVAL: Final = 10.0
 
 
 def update_readiness(core: Core, now: float) -> None:
-    """Become ready when two ready neighbours hold just what we hold.
+    """Become ready when two ready neighbours hold the same entries.
 
-    They must be of two failure domains where there are ready neighbours of
-    two: a neighbour that lags is then seen by its difference from the other,
-    and the newer entries of both are taken.
+    They must be of two failure domains if there are ready neighbours in two.
+    A neighbour that lags behind then differs from the other one, and the
+    newer entries of both are pulled.
     """
     if core.own.ready:
         return
@@ -33,26 +35,26 @@
 
 
 def waiting_for(core: Core) -> str:
-    """Say in words what keeps this node from being ready; empty: nothing."""
+    """Describe what keeps this node from being ready; empty if it is."""
     if core.own.ready:
         return ''
-    heard = core.heard_links()
-    if not heard:
+    reachable = core.heard_links()
+    if not reachable:
         known = len(core.addresses)
         return (
             f'a live peer: none of {known} known addresses answers,'
             ' and no relay entry has been read from the store'
         )
-    peers = len(heard)
-    if not any(link.ready for link in heard):
+    peers = len(reachable)
+    if not any(link.ready for link in reachable):
         return (
-            f'a peer with configuration: none of {peers} heard has it;'
+            f'a peer with configuration: none of {peers} reachable has it;'
             ' a relay must read it from the store'
         )
-    lacking = core.ledger.missing_count
+    missing = core.ledger.missing_count
     return (
         'the configuration to be the same as that of two neighbours;'
-        f' {lacking} entries are on their way'
+        f' {missing} entries are missing'
     )
 
 
--- a/hillfield/fleet/records.py
+++ b/hillfield/fleet/records.py
@@ -1,4 +1,4 @@
-"""What a node says of itself, and how that is coded."""
+"""The records that nodes publish, and their encoding."""
 
 from enum import StrEnum
 from math import inf
@@ -11,12 +11,13 @@
 from hillfield.detection.evidence import Evidence, Symptom
 from hillfield.model import Address, Locality, Target, TargetId, TargetState
 
+# Highest slots and connection limit of a target that is accepted.
 COUNT_LIMIT: Final = 1048576
 PORT_LIMIT: Final = 65535
 
 
 class Kind(StrEnum):
-    """Name what a statement is about."""
+    """Name the content of a state update; values are sent on links."""
 
     MEMBER = 'm'
     TARGETS = 't'
@@ -24,7 +25,7 @@
 
 
 class NodeState(StrEnum):
-    """Name what a node says of itself."""
+    """Name the state that a node publishes of itself."""
 
     JOINING = 'joining'
     SERVING = 'serving'
@@ -32,9 +33,10 @@
 
 
 class NodeRecord(Struct, frozen=True, array_like=True):
-    """Describe a node: its addresses, its place and whom it hears.
+    """Describe a node: its addresses, its locality and its reachable peers.
 
-    `relay_of` names the relay slot that it holds (empty: none).
+    `receives_from` names the peers whose messages reach it, `relay_of` the
+    relay slot that it holds (empty: none).
     """
 
     name: str
@@ -48,7 +50,7 @@
 
 
 class TargetRow(Struct, frozen=True, array_like=True):
-    """Code one target; a locality that is its node's is left out."""
+    """Encoded target; the locality is left out if it is that of its node."""
 
     service: str
     ip: str
@@ -62,7 +64,7 @@
 
 
 class EvidenceRow(Struct, frozen=True, array_like=True):
-    """Code one piece of evidence."""
+    """Encoded piece of evidence."""
 
     service: str
     ip: str
@@ -75,26 +77,26 @@
 
 
 class RecordCodec:
-    """Code and read the payloads of statements.
+    """Encode and decode the payloads of state updates.
 
-    A payload that can't be read yields nothing: it comes from a node that
-    holds the cluster's key, so it is a fault or a later format, and must do
-    no harm.
+    A payload that cannot be decoded yields nothing: it comes from a node
+    with the cluster's key, so it is the result of a fault or of a later
+    format, and must do no harm.
     """
 
     def __init__(self) -> None:
-        """Prepare the coders."""
+        """Create the encoder and the decoders."""
         self._encoder = Encoder()
         self._records = Decoder(NodeRecord)
         self._targets = Decoder(tuple[TargetRow, ...])
         self._evidence = Decoder(tuple[EvidenceRow, ...])
 
     def encode_record(self, record: NodeRecord) -> bytes:
-        """Code a node's record."""
+        """Encode a node's record."""
         return self._encoder.encode(record)
 
     def decode_record(self, payload: bytes) -> NodeRecord | None:
-        """Read a node's record."""
+        """Decode a node's record; return None if it is malformed."""
         try:
             return self._records.decode(payload)
         except (MsgspecError, UnicodeDecodeError):
@@ -105,10 +107,10 @@
         home: Locality,
         targets: tuple[Target, ...],
     ) -> bytes:
-        """Code a host's targets, without their load.
+        """Encode a host's targets, without their load.
 
-        The load changes with each request; sent to all nodes it would be
-        stale on arrival and cost more than all else.
+        The load changes with each request: sent to all nodes, it would be
+        stale on arrival and cost more than everything else.
         """
         return self._encoder.encode(
             tuple(_target_row(home, target) for target in targets),
@@ -119,38 +121,40 @@
         home: Locality,
         payload: bytes,
     ) -> tuple[Target, ...]:
-        """Read a host's targets."""
+        """Decode a host's targets; leave out those with invalid numbers."""
         try:
             rows = self._targets.decode(payload)
         except (MsgspecError, UnicodeDecodeError):
             return ()
-        return tuple(_target(home, row) for row in rows if _is_sane(row))
+        return tuple(
+            _target(home, row) for row in rows if _is_valid_target(row)
+        )
 
     def encode_evidence(self, evidence: tuple[Evidence, ...]) -> bytes:
-        """Code a node's evidence."""
+        """Encode a node's evidence."""
         return self._encoder.encode(
             tuple(_evidence_row(piece) for piece in evidence),
         )
 
     def decode_evidence(self, payload: bytes) -> tuple[Evidence, ...]:
-        """Read a node's evidence."""
+        """Decode a node's evidence; leave out pieces with invalid numbers."""
         try:
             rows = self._evidence.decode(payload)
         except (MsgspecError, UnicodeDecodeError):
             return ()
-        return tuple(_evidence(row) for row in rows if _is_likely(row))
+        return tuple(_evidence(row) for row in rows if _is_valid_evidence(row))
 
 
-def _is_sane(row: TargetRow) -> bool:
-    """Return whether routing can reckon with a target's numbers."""
+def _is_valid_target(row: TargetRow) -> bool:
+    """Return whether routing can compute with a target's numbers."""
     counted = (row.slots, row.connection_limit, row.port)
     if not 0 < row.weight < inf or row.port > PORT_LIMIT:
         return False
     return all(0 < count <= COUNT_LIMIT for count in counted)
 
 
-def _is_likely(row: EvidenceRow) -> bool:
-    """Return whether detection can reckon with a piece's numbers."""
+def _is_valid_evidence(row: EvidenceRow) -> bool:
+    """Return whether detection can compute with a piece's numbers."""
     counted = min(row.failures, row.requests)
     return counted >= 0 and 0 <= row.slowness < inf
 
--- a/hillfield/fleet/relay.py
+++ b/hillfield/fleet/relay.py
@@ -1,4 +1,4 @@
-"""Hold a leased relay slot when one is open, and feed the fleet from it."""
+"""Claim a relay slot by a lease, and feed store entries to the fleet."""
 
 import asyncio
 from contextlib import suppress
@@ -20,22 +20,27 @@
 from hillfield.store.leases import LeaseKeeper
 from hillfield.store.ports import Accepted, Change, Store
 
+# Seconds between two checks for an open slot or a lost lease.
 CHECK_INTERVAL: Final = 0.5
+# Seconds between two reads of the relay entries while no peer is reachable;
+# they double up to the limit.
 DISCOVERY_PAUSE: Final = 2.0
 DISCOVERY_PAUSE_LIMIT: Final = 30.0
 GROWTH: Final = 2
 RELAY_ENTRIES_READ: Final = 64
+# Seconds that a stopping node waits for the store to end its lease.
 RELEASE_TIMEOUT: Final = 1.0
-# Short, since a lost holder's slot stays taken for so long: a renewal each
-# 1.3 to 1.7 s at up to two slots of a failure domain.
+# Short, since the slot of a lost holder stays claimed until its lease expires.
+# It costs a renewal every 1.3 to 1.7 s for each of the two slots of a failure
+# domain.
 LEASE: Final = LeaseSettings(seconds=5, margin=1)
 
 
 class Relay:
-    """Bridge the store and the fleet for as long as `run` runs.
+    """Feed store entries to the fleet while this node holds a relay slot.
 
-    A holder that was paused beyond its lease does no harm: what it feeds in
-    is older than what the fleet holds, and is refused by its revision.
+    A holder that was paused for longer than its lease does no harm: its
+    entries are older than those of the fleet and are refused by revision.
     """
 
     def __init__(
@@ -45,13 +50,13 @@
         random: Random,
         journal: Journal,
     ) -> None:
-        """Do nothing yet."""
+        """Create a relay that does nothing before `run`."""
         self._fleet = fleet
         self._store = store
         self._random = random
         self._journal = journal
-        self._pause = DISCOVERY_PAUSE
-        self._sought = -DISCOVERY_PAUSE_LIMIT
+        self._discovery_pause = DISCOVERY_PAUSE
+        self._discovered = -DISCOVERY_PAUSE_LIMIT
         self._feed = StoreFeed(
             fleet,
             store,
@@ -61,32 +66,34 @@
         )
 
     async def run(self) -> None:
-        """Look for peers and slots until cancelled.
+        """Discover peers and claim open slots until cancelled.
 
-        A slot that is held then is given up, so await it after cancelling.
+        Await it after cancelling: it then releases a slot that it holds.
         """
         await asyncio.sleep(self._random.uniform(0, CHECK_INTERVAL))
         while True:
-            await self._seek_peers()
-            opened = find_open_slot(self._fleet.state.core)
-            if opened is not None:
-                await self._take_turn(opened)
+            await self._discover_peers()
+            open_slot = find_open_slot(self._fleet.state.core)
+            if open_slot is not None:
+                await self._claim(open_slot)
             await asyncio.sleep(CHECK_INTERVAL)
 
-    async def _seek_peers(self) -> None:
-        """Read the relay entries while no peer is heard, ever less often."""
+    async def _discover_peers(self) -> None:
+        """Read the relay entries with growing pauses until a peer is up."""
         if self._fleet.state.core.heard_links():
-            self._pause = DISCOVERY_PAUSE
+            self._discovery_pause = DISCOVERY_PAUSE
             return
         now = monotonic()
-        pause = self._pause * self._random.uniform(0.5, 1)
-        if now - self._sought < pause:
+        pause = self._discovery_pause * self._random.uniform(0.5, 1)
+        if now - self._discovered < pause:
             return
-        self._sought = now
-        self._pause = min(self._pause * GROWTH, DISCOVERY_PAUSE_LIMIT)
-        await self._offer_relays()
+        self._discovered = now
+        self._discovery_pause = min(
+            self._discovery_pause * GROWTH, DISCOVERY_PAUSE_LIMIT
+        )
+        await self._read_relays()
 
-    async def _offer_relays(self) -> None:
+    async def _read_relays(self) -> None:
         prefix = prefix_of(self._fleet.settings.cluster)
         read = await self._store.read_range(prefix, '', RELAY_ENTRIES_READ)
         if read.is_error():
@@ -97,23 +104,23 @@
             if address.is_ok():
                 self._fleet.state.add_address(monotonic(), address.ok)
 
-    async def _take_turn(self, opened: OpenSlot) -> None:
-        """Wait for our turn; take the slot if it is still open."""
+    async def _claim(self, open_slot: OpenSlot) -> None:
+        """Claim the slot if it is still open after this node's wait."""
         await asyncio.sleep(
-            opened.wait + self._random.uniform(0, CHECK_INTERVAL)
+            open_slot.wait + self._random.uniform(0, CHECK_INTERVAL)
         )
         again = find_open_slot(self._fleet.state.core)
-        if again is None or again.slot != opened.slot:
+        if again is None or again.slot != open_slot.slot:
             return
-        key = prefix_of(self._fleet.settings.cluster) + opened.slot
-        standing = await self._store.get(key)
-        if standing.is_error():
-            self._feed.report_error(standing.error)
-        elif standing.ok is None:
-            await self._hold(opened.slot, key)
+        key = prefix_of(self._fleet.settings.cluster) + open_slot.slot
+        current = await self._store.get(key)
+        if current.is_error():
+            self._feed.report_error(current.error)
+        elif current.ok is None:
+            await self._hold(open_slot.slot, key)
         else:
-            # Its holder is gone and the lease still runs, or it is not in
-            # our view yet.
+            # The holder is lost and its lease has not expired yet, or this
+            # node does not have its record yet.
             await asyncio.sleep(
                 self._random.uniform(CHECK_INTERVAL, DISCOVERY_PAUSE)
             )
@@ -130,10 +137,10 @@
             return
         address = str(self._fleet.settings.link).encode()
         change = Change(key, 0, address, keeper.number)
-        try:  # noqa: WPS501 -- cancelled or not, the slot must be given up
+        try:  # noqa: WPS501 -- the slot is released also when cancelled
             await self._serve(slot, change, keeper)
         finally:
-            await _give_up(keeper)
+            await _release(keeper)
 
     async def _serve(
         self,
@@ -141,7 +148,7 @@
         change: Change,
         keeper: LeaseKeeper,
     ) -> None:
-        """Take the slot by a change and feed the fleet until it is lost."""
+        """Write the slot's key and feed the fleet until the lease is lost."""
         swapped = await self._store.swap((change,))
         if swapped.is_error() or not isinstance(swapped.ok, Accepted):
             return
@@ -151,37 +158,37 @@
             asyncio.create_task(keeper.run()),
             asyncio.create_task(self._feed.run()),
         ]
-        try:  # noqa: WPS501 -- cancelled or not, the tasks must end
+        try:  # noqa: WPS501 -- the tasks end also when cancelled
             await self._wait_for_loss(keeper, keeper.number)
         finally:
-            await _end(tasks)
+            await _cancel(tasks)
             self._fleet.state.set_relay_slot('')
         self._journal.record(Occurrence(EventCode.RELAY_ENDED, peer=slot))
 
     async def _wait_for_loss(self, keeper: LeaseKeeper, number: int) -> None:
         while keeper.number == number:
             await asyncio.sleep(CHECK_INTERVAL)
-            await self._seek_lost()
+            await self._rediscover()
 
-    async def _seek_lost(self) -> None:
-        """Now and then find relays whose nodes aren't in our view.
+    async def _rediscover(self) -> None:
+        """Read the relay entries every 30 s to find nodes unknown here.
 
-        So parts of a fleet that have lost each other's addresses meet again.
+        Parts of a fleet that have lost each other's addresses merge by this.
         """
         now = monotonic()
-        if now - self._sought >= DISCOVERY_PAUSE_LIMIT:
-            self._sought = now
-            await self._offer_relays()
+        if now - self._discovered >= DISCOVERY_PAUSE_LIMIT:
+            self._discovered = now
+            await self._read_relays()
 
 
-async def _give_up(keeper: LeaseKeeper) -> None:
-    """Free the slot, within a bounded time; else its lease lapses."""
+async def _release(keeper: LeaseKeeper) -> None:
+    """End the lease, within a bounded time; otherwise it expires."""
     with suppress(TimeoutError):
         async with asyncio.timeout(RELEASE_TIMEOUT):
             await keeper.give_up()
 
 
-async def _end(tasks: list[asyncio.Task[None]]) -> None:
+async def _cancel(tasks: list[asyncio.Task[None]]) -> None:
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
--- a/hillfield/fleet/replication/__init__.py
+++ b/hillfield/fleet/replication/__init__.py
@@ -1,1 +1,1 @@
-"""What two neighbours hold differently, and how it is made the same."""
+"""Replication of state updates and entries between neighbours."""
--- a/hillfield/fleet/replication/anti_entropy.py
+++ b/hillfield/fleet/replication/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Find by hashes what two neighbours hold differently, and mend it."""
+"""Anti-entropy: find differences between neighbours by hashes and repair them."""
 
 from collections.abc import Iterator
 from typing import Final
@@ -23,16 +23,19 @@
 from hillfield.fleet.replication.entry_dissemination import record_offers
 from hillfield.fleet.replication.summary import BUCKETS
 
+# Heartbeats in a row with another hash after which buckets are compared.
 MISMATCHES_TOLERATED: Final = 2
-# Over a dear link news comes late by its gathering and is told by others
-# too: hashes that differ for 3 s are no mere delay.
+# The same for a cross-domain link. Updates are batched there, arrive later and
+# come over other links too: a mismatch for 3 s is more than this delay.
 CROSS_DOMAIN_MISMATCHES: Final = 6
 COMPARE_INTERVAL: Final = 3.0
 JOIN_COMPARE_INTERVAL: Final = 0.5
+# Differing buckets that a neighbour answers at once to a node that is ready.
 BUCKETS_PER_COMPARISON: Final = 16
-# Seconds between two comparisons of statements with any neighbours. While
-# nodes start, all neighbours differ from one another until the same news has
-# come over every link: each comparison then fetches what is under way.
+# Seconds between two comparisons of state updates with any neighbours. While
+# nodes start, all neighbours differ until the same updates have come over
+# every link, and each comparison would fetch updates that are already on
+# their way.
 STATE_COMPARE_GAP: Final = 0.5
 WANT_LIMIT: Final = 256
 
@@ -61,9 +64,9 @@
     summary = core.get_summary(message.subject)
     mine = summary.sums()
     first = int(source.now)
-    turned = ((first + step) % BUCKETS for step in range(BUCKETS))
+    rotated = ((first + step) % BUCKETS for step in range(BUCKETS))
     differing = [
-        bucket for bucket in turned if mine[bucket] != message.buckets[bucket]
+        bucket for bucket in rotated if mine[bucket] != message.buckets[bucket]
     ]
     for bucket in differing[: message.limit]:
         core.outbox.send(
@@ -85,10 +88,10 @@
         if _is_newer(mine, theirs.get(mine.key))
     )
     if message.subject == Subject.ENTRIES:
-        _offer_both_ways(core, source.now, link, newer_here, message.versions)
+        _exchange_offers(core, source.now, link, newer_here, message.versions)
         return
     keys = tuple(mine.key for mine in newer_here[:WANT_LIMIT])
-    _give(core, link, message.subject, keys)
+    _send_values(core, link, message.subject, keys)
     wanted = tuple(
         row.key
         for row in message.versions
@@ -104,19 +107,21 @@
 @handle_message.register
 def _(message: Want, core: Core, source: MessageSource) -> None:
     if source.link is not None:
-        _give(core, source.link, message.subject, message.keys[:WANT_LIMIT])
+        _send_values(
+            core, source.link, message.subject, message.keys[:WANT_LIMIT]
+        )
 
 
 def _compare(core: Core, now: float, link: Link, subject: Subject) -> None:
     joining = not core.own.ready
-    wanted = (
+    tolerated = (
         CROSS_DOMAIN_MISMATCHES
         if is_cross_domain(core, link)
         else MISMATCHES_TOLERATED
     )
-    patient = joining or link.mismatches[subject] >= wanted
+    is_persistent = joining or link.mismatches[subject] >= tolerated
     pause = JOIN_COMPARE_INTERVAL if joining else COMPARE_INTERVAL
-    if not link.up or not patient or now - link.hashes_sent < pause:
+    if not link.up or not is_persistent or now - link.hashes_sent < pause:
         return
     if subject == Subject.STATE_UPDATES:
         if now - core.times.hashes_sent < STATE_COMPARE_GAP:
@@ -135,17 +140,17 @@
     )
 
 
-def _offer_both_ways(
+def _exchange_offers(
     core: Core,
     now: float,
     link: Link,
     ours: tuple[Version, ...],
     theirs: tuple[Version, ...],
 ) -> None:
-    """Announce newer entries; who lacks them pulls at its own pace.
+    """Announce newer entries and record the neighbour's; pulls fetch them.
 
-    Pushed, the whole configuration would come from each neighbour of a
-    fresh node at once.
+    If entries were pushed, a started node would receive the complete
+    configuration from each neighbour at once.
     """
     for mine in ours:
         core.outbox.queue_offer(link.address, mine)
@@ -161,7 +166,7 @@
     )
 
 
-def _give(
+def _send_values(
     core: Core,
     link: Link,
     subject: int,
@@ -172,8 +177,8 @@
         for entries in split_into_pages(tuple(_entries(core, keys)), limit):
             core.outbox.send(link.address, Entries(entries))
         return
-    for statements in split_into_pages(tuple(_statements(core, keys)), limit):
-        core.outbox.send(link.address, Statements(statements))
+    for updates in split_into_pages(tuple(_list_updates(core, keys)), limit):
+        core.outbox.send(link.address, Statements(updates))
 
 
 def _entries(core: Core, keys: tuple[str, ...]) -> Iterator[Entry]:
@@ -183,11 +188,11 @@
             yield entry
 
 
-def _statements(core: Core, keys: tuple[str, ...]) -> Iterator[Statement]:
+def _list_updates(core: Core, keys: tuple[str, ...]) -> Iterator[Statement]:
     for key in keys:
-        statement = core.book.get_by_key(key)
-        if statement is not None:
-            yield statement
+        update = core.book.get_by_key(key)
+        if update is not None:
+            yield update
 
 
 def _subjects_of(message: Heartbeat) -> tuple[tuple[Subject, int], ...]:
--- a/hillfield/fleet/replication/entry_dissemination.py
+++ b/hillfield/fleet/replication/entry_dissemination.py
@@ -1,4 +1,4 @@
-"""Spread configuration entries: announce, pull, adopt, announce on."""
+"""Disseminate configuration entries: announce, pull, adopt, announce again."""
 
 from collections import defaultdict
 from math import inf
@@ -14,8 +14,8 @@
 from hillfield.fleet.peering.link_table import Link
 from hillfield.model import Address
 
-# Seconds that an entry offered by another failure domain is left to the
-# domain's own followers of the store: they hear of it within 0.05 s.
+# Seconds that a pull of an entry from another failure domain waits for this
+# domain's own watchers of the store: they receive it within 0.05 s.
 CROSS_DOMAIN_PULL_DELAY: Final = 0.25
 
 
@@ -23,16 +23,16 @@
     core: Core,
     entry: Entry,
     source: Link | None,
-    way: EntrySource = EntrySource.NEIGHBOUR,
+    entry_source: EntrySource = EntrySource.NEIGHBOUR,
 ) -> bool:
-    """Adopt an entry and announce it; an older one is refused."""
+    """Adopt an entry and announce it; return False if it is not newer."""
     if not core.ledger.adopt(entry):
         core.count('entry-not-adopted')
         return False
     core.report(
         EventCode.ENTRY_CAME,
         peer='' if source is None else source.name,
-        detail=f'{entry.key} at revision {entry.revision} by {way.value}',
+        detail=f'{entry.key} at revision {entry.revision} by {entry_source.value}',
     )
     version = Version(entry.key, 0, entry.revision)
     for link in core.links:
@@ -47,10 +47,10 @@
     link: Link,
     versions: tuple[Version, ...],
 ) -> None:
-    """Note which entries a neighbour has; those it alone has are pulled.
+    """Record which entries a neighbour holds, so that missing ones are pulled.
 
-    Over a dear link a pull waits until this domain's own followers of the
-    store would have told the entry.
+    Over a cross-domain link a pull waits until this domain's own watchers of
+    the store would have announced the entry.
     """
     earliest = (
         now + CROSS_DOMAIN_PULL_DELAY if is_cross_domain(core, link) else -inf
@@ -60,14 +60,14 @@
 
 
 def request_missing_entries(core: Core, now: float) -> None:
-    """Ask for what is known to be missing, within the window."""
+    """Request entries that are known to be missing, within the window."""
     if not core.ledger.missing_count:
         return
     peers = tuple(link.address for link in core.heard_links())
-    asked: dict[Address, list[str]] = defaultdict(list)
+    requests: dict[Address, list[str]] = defaultdict(list)
     for missing in core.ledger.select_pulls(now, peers):
-        asked[missing.peer].append(missing.version.key)
-    for peer, keys in asked.items():
+        requests[missing.peer].append(missing.version.key)
+    for peer, keys in requests.items():
         core.outbox.send(peer, Want(Subject.ENTRIES, tuple(keys)))
 
 
--- a/hillfield/fleet/replication/entry_index.py
+++ b/hillfield/fleet/replication/entry_index.py
@@ -1,4 +1,4 @@
-"""Which revision of each configuration entry is here, and which is not yet."""
+"""Index of the configuration entries that are held and that are missing."""
 
 from math import inf
 from typing import Final, Protocol
@@ -11,30 +11,33 @@
 from hillfield.fleet.replication.summary import Summary
 from hillfield.model import Address
 
+# Missing entries that are requested at a time.
 PULL_WINDOW: Final = 32
+# Peers that are asked for an entry before it is dropped until offered again.
 PULL_ATTEMPTS: Final = 6
+# Peers remembered for one missing entry.
 OFFERS_KEPT: Final = 16
 MISSING_LIMIT: Final = 8192
 
 
 class EntryStore(Protocol):
-    """Keep the newest valid entry of each key; `Replica` does."""
+    """Store of the newest valid entry of each key, such as `Replica`."""
 
     def adopt(self, entry: Entry) -> object:
-        """Take an entry unless a newer one of its key is held."""
+        """Store an entry unless a newer one of its key is held."""
 
     def wants(self, key: str, revision: int) -> bool:
-        """Return whether such an entry would be news."""
+        """Return whether an entry of this revision would be adopted."""
 
     def entry(self, key: str) -> Entry | None:
         """Return the entry of a key."""
 
 
 class MissingEntry(Struct, frozen=True):
-    """Hold that peers have a newer revision of a key than we.
+    """Hold a newer revision of a key that peers have and this node lacks.
 
-    `offers` are those that told so, `tried` those that were asked: the first
-    no sooner than `earliest`, another one some time after `requested`.
+    `offers` are the peers that announced it, `tried` those that were asked:
+    the first no sooner than `earliest`, the next some time after `requested`.
     """
 
     version: Version
@@ -45,11 +48,11 @@
 
     @property
     def peer(self) -> Address:
-        """Return whom to ask, or who was asked last."""
+        """Return the peer that was asked last, or else the one to ask."""
         return self.tried[-1] if self.tried else self.offers[0]
 
     def add_offer(self, peer: Address, earliest: float) -> 'MissingEntry':
-        """Take one more offer, first if it may be taken up sooner."""
+        """Add an offer, in front if it may be requested sooner."""
         if earliest < self.earliest:
             others = tuple(other for other in self.offers if other != peer)
             offers = (peer, *others)
@@ -59,18 +62,19 @@
         return replace(self, offers=(*self.offers, peer)[:OFFERS_KEPT])
 
     def is_due(self, now: float, pull_again: float) -> bool:
-        """Tell whether it may be asked for now."""
+        """Return whether the entry may be requested now."""
         waited = now - self.requested >= pull_again
         return waited and now >= self.earliest
 
 
 class EntryIndex:
-    """Guard a store of entries: a key's revision only ever grows."""
+    """Index a store of entries; a key's revision never decreases."""
 
     def __init__(self, store: EntryStore, pull_again: float) -> None:
-        """Start with a store that holds nothing yet.
+        """Index a store that is still empty.
 
-        What was not sent in `pull_again` seconds is asked of another peer.
+        An entry that a peer has not sent within `pull_again` seconds is
+        requested from another one.
         """
         self._pull_again = pull_again
         self.summary = Summary()
@@ -85,14 +89,14 @@
         return len(self._missing)
 
     def revision_of(self, key: str) -> int:
-        """Return the revision that is held, 0 for none."""
+        """Return the revision held of a key, 0 for none."""
         version = self.summary.get(key)
         return 0 if version is None else version.version
 
     def keys_under(self, prefix: str) -> tuple[str, ...]:
-        """Return the keys of a prefix whose entries aren't deletions."""
-        found = (key for key in self.summary.keys() if key.startswith(prefix))
-        return tuple(key for key in found if self._is_filled(key))
+        """Return the keys under a prefix, without deleted entries."""
+        keys = (key for key in self.summary.keys() if key.startswith(prefix))
+        return tuple(key for key in keys if self._is_present(key))
 
     def newest_under(self, prefix: str) -> int:
         """Return the highest revision held under a prefix."""
@@ -110,10 +114,10 @@
         return self._store.entry(key)
 
     def adopt(self, entry: Entry) -> bool:
-        """Take an entry if it is valid and newer than what is held.
+        """Store an entry if it is valid and newer than the held one.
 
-        One that this node can't read is not announced as held, so that its
-        neighbours never take it for one that has it.
+        An entry that this node cannot read is not announced, so that
+        neighbours do not request it from this node.
         """
         if entry.revision <= self.revision_of(entry.key):
             return False
@@ -135,9 +139,10 @@
         version: Version,
         earliest: float = -inf,
     ) -> None:
-        """Note that a peer holds a revision; it is pulled if it is newer.
+        """Record that a peer holds a revision, to be pulled if it is newer.
 
-        An offer that may be taken up sooner goes before those like it.
+        Of the offers of one revision, the one that may be requested soonest
+        goes first.
         """
         missing = self._missing.get(version.key)
         if missing and missing.version.version == version.version:
@@ -146,11 +151,11 @@
         known = self.revision_of(version.key)
         if missing:
             known = max(known, missing.version.version)
-        news = version.version > known and self._store.wants(
+        newer = version.version > known and self._store.wants(
             version.key,
             version.version,
         )
-        if news and len(self._missing) < MISSING_LIMIT:
+        if newer and len(self._missing) < MISSING_LIMIT:
             self._missing[version.key] = MissingEntry(
                 version, (peer,), earliest
             )
@@ -160,9 +165,10 @@
         now: float,
         peers: tuple[Address, ...],
     ) -> tuple[MissingEntry, ...]:
-        """Return what to pull now; a bounded window at a time.
+        """Return the entries to request now, at most a window of them.
 
-        What a peer didn't send in time is asked of the next of `peers`.
+        An entry that a peer has not sent in time is requested from the next
+        of `peers`.
         """
         pulled = []
         for key, missing in tuple(self._missing.items())[:PULL_WINDOW]:
@@ -171,9 +177,9 @@
             if len(missing.tried) >= PULL_ATTEMPTS or not peers:
                 self._missing.pop(key)
                 continue
-            turned = self._ask(now, missing, peers)
-            self._missing[key] = turned
-            pulled.append(turned)
+            requested = self._choose_peer(now, missing, peers)
+            self._missing[key] = requested
+            pulled.append(requested)
         return tuple(pulled)
 
     def pop_adopted(self) -> tuple[Entry, ...]:
@@ -182,21 +188,21 @@
         self._adopted.clear()
         return adopted
 
-    def _is_filled(self, key: str) -> bool:
+    def _is_present(self, key: str) -> bool:
         entry = self._store.entry(key)
         return entry is not None and bool(entry.payload)
 
-    def _ask(
+    def _choose_peer(
         self,
         now: float,
         missing: MissingEntry,
         peers: tuple[Address, ...],
     ) -> MissingEntry:
         offers = (peer for peer in missing.offers if peer in peers)
-        turns = tuple(dict.fromkeys((*offers, *peers)))
-        untried = (peer for peer in turns if peer not in missing.tried)
+        candidates = tuple(dict.fromkeys((*offers, *peers)))
+        untried = (peer for peer in candidates if peer not in missing.tried)
         return replace(
             missing,
             requested=now,
-            tried=(*missing.tried, next(untried, turns[0])),
+            tried=(*missing.tried, next(untried, candidates[0])),
         )
--- a/hillfield/fleet/replication/summary.py
+++ b/hillfield/fleet/replication/summary.py
@@ -1,4 +1,4 @@
-"""Hashes over many versions, kept up to date one change at a time."""
+"""Incremental hashes over the versions of many keys."""
 
 from typing import Final
 
@@ -10,7 +10,7 @@
 
 
 def hash_text(text: str) -> int:
-    """Return a hash that all nodes agree on."""
+    """Return a hash that is the same at all nodes."""
     return xxh3_64_intdigest(text.encode())
 
 
@@ -20,7 +20,7 @@
 
 
 class Summary:
-    """Sum up versions by bucket; equal sets have equal sums in any order.
+    """Hash versions by bucket; equal sets have equal hashes in any order.
 
     >>> ahead, behind = Summary(), Summary()
     >>> ahead.put(Version('a', 0, 2))
@@ -41,18 +41,18 @@
         )
 
     def __len__(self) -> int:
-        """Return how many keys are summed up."""
+        """Return how many keys are included."""
         return sum(len(versions) for versions in self._versions)
 
     def put(self, version: Version) -> None:
-        """Take a key's version in place of an earlier one."""
+        """Set the version of a key."""
         self.drop(version.key)
         bucket = compute_bucket(version.key)
         self._versions[bucket][version.key] = version
         self._mix(bucket, version)
 
     def drop(self, key: str) -> None:
-        """Leave a key out."""
+        """Remove a key."""
         bucket = compute_bucket(key)
         version = self._versions[bucket].pop(key, None)
         if version is not None:
@@ -67,11 +67,11 @@
         return tuple(key for bucket in self._versions for key in bucket)
 
     def sums(self) -> tuple[int, ...]:
-        """Return the sum of each bucket."""
+        """Return the hash of each bucket."""
         return tuple(self._sums)
 
     def versions(self, bucket: int) -> tuple[Version, ...]:
-        """Return what one bucket holds."""
+        """Return the versions in one bucket."""
         return tuple(self._versions[bucket].values())
 
     def _mix(self, bucket: int, version: Version) -> None:
--- a/hillfield/fleet/service.py
+++ b/hillfield/fleet/service.py
@@ -1,4 +1,4 @@
-"""Tie the fleet's state to its links and to the loop."""
+"""Run a node's fleet state on its links and the event loop."""
 
 import asyncio
 from collections.abc import Callable
@@ -32,11 +32,12 @@
 from hillfield.model import Address, Target
 from hillfield.timers import Appointment, find_timer
 
+# Seconds that the goodbyes of a stopping node have to be sent.
 GOODBYE_DELAY: Final = 0.2
 
 
 class FleetListeners(Struct, frozen=True):
-    """Hold whom to tell of changes; all are called on the loop's thread."""
+    """Callbacks for changes; all are called on the event loop's thread."""
 
     targets_changed: Callable[[str, tuple[Target, ...]], None]
     evidence_changed: Callable[[NodeEvidence], None]
@@ -44,7 +45,10 @@
 
 
 class EffectRunner:
-    """Do effects on links and journal; `incarnation` seals the messages."""
+    """Run effects on links and journal.
+
+    `incarnation` is that of this node, sent with each message.
+    """
 
     def __init__(
         self,
@@ -52,7 +56,7 @@
         codec: Codec,
         journal: Journal,
     ) -> None:
-        """Act on these links and this journal."""
+        """Use these links and this journal."""
         self.incarnation = 0
         self._links = links
         self._codec = codec
@@ -60,7 +64,7 @@
 
     @singledispatchmethod
     def run(self, effect: Effect) -> None:
-        """Do one effect."""
+        """Run one effect."""
         raise TypeError(type(effect).__name__)
 
     @run.register
@@ -82,7 +86,7 @@
 
 
 class Fleet:
-    """Run one node's share of the fleet."""
+    """One node's part in the fleet: its state, links and timer."""
 
     def __init__(
         self,
@@ -92,7 +96,7 @@
         journal: Journal,
         clock: StampSource | None = None,
     ) -> None:
-        """Prepare; nothing is opened before `start`."""
+        """Create the state and the links, which `start` opens."""
         self.settings = settings
         self.state = FleetState(settings, store)
         self.links = LinkLayer(
@@ -108,11 +112,11 @@
         self._codec = Codec(settings, clock)
         self._listeners = listeners
         self._journal = journal
-        self._performer = EffectRunner(self.links, self._codec, journal)
+        self._runner = EffectRunner(self.links, self._codec, journal)
         self._ticking: Appointment | None = None
 
     async def start(self) -> Result[Address, LinkError]:
-        """Listen and start to look for peers; return the link address."""
+        """Listen, start to discover peers and return the link address."""
         opened = self.links.open()
         match opened:
             case Result(tag='ok', ok=address):
@@ -135,15 +139,15 @@
         return opened
 
     async def stop(self) -> None:
-        """Say goodbye to the neighbours and close all links."""
+        """Send goodbyes to the neighbours and close all links."""
         if self._ticking is not None:
             self._ticking.cancel()
-            self._perform(self.state.leave(monotonic()))
+            self._run_effects(self.state.leave(monotonic()))
             await asyncio.sleep(GOODBYE_DELAY)
         self.links.close()
 
     def abandon(self) -> None:
-        """Close all links without a word, as a crash does."""
+        """Close all links without goodbyes, as a crash does."""
         if self._ticking is not None:
             self._ticking.cancel()
         self.links.close()
@@ -153,17 +157,17 @@
         self.state.publish_targets(monotonic(), targets)
 
     def publish_evidence(self, evidence: tuple[Evidence, ...]) -> None:
-        """Set what this node tells others of targets."""
+        """Set the evidence that this node publishes."""
         self.state.publish_evidence(monotonic(), evidence)
 
     def submit(self, entry: Entry) -> bool:
-        """Adopt an entry that the store accepted and spread it."""
+        """Adopt an entry that the store accepted and announce it."""
         return self.state.submit(entry)
 
     def handle_event(self, event: Event) -> None:
-        """Take an event into the state and do what follows from it."""
-        self._perform(self.state.handle_event(monotonic(), event))
-        self._tell()
+        """Apply an event to the state, run its effects and call listeners."""
+        self._run_effects(self.state.handle_event(monotonic(), event))
+        self._call_listeners()
 
     def _tick(self) -> None:
         self.handle_event(Ticked())
@@ -175,12 +179,12 @@
             case Result(tag='error', error=reason):
                 self.handle_event(Refused(reason))
 
-    def _perform(self, effects: tuple[Effect, ...]) -> None:
-        self._performer.incarnation = self.state.core.own.incarnation
+    def _run_effects(self, effects: tuple[Effect, ...]) -> None:
+        self._runner.incarnation = self.state.core.own.incarnation
         for effect in effects:
-            self._performer.run(effect)
+            self._runner.run(effect)
 
-    def _tell(self) -> None:
+    def _call_listeners(self) -> None:
         core = self.state.core
         for service in core.view.pop_changed():
             self._listeners.targets_changed(
--- a/hillfield/fleet/settings.py
+++ b/hillfield/fleet/settings.py
@@ -1,4 +1,4 @@
-"""Settings of a node's share in the fleet."""
+"""Settings of a node's part in the fleet."""
 
 from msgspec import Struct
 
@@ -7,19 +7,19 @@
 
 
 class FleetSettings(Struct, frozen=True):
-    """Hold what one node must know of its fleet; times are in seconds.
+    """Settings of one node of a fleet; times are in seconds.
 
-    `tick` is the time between looks at what is due, `incarnation` the wall
-    clock's milliseconds at the start of the process, `suspect_after` the
-    silence after which a neighbour isn't heard any more, `link_dead_after`
-    that after which its link is given up, `orphan_hold` how long targets
-    outlast their lost node, `settle` how long a started node gathers
-    announcements before it replaces those of its earlier life, `pull_again`
-    after how long an entry that a peer did not send is asked of another,
-    `sparse` that only holders of a relay slot link to other failure domains
-    and tell them their own domain's news, since bytes between those are dear,
-    `dear_flush_after` how long that news is gathered, `faults` what tests
-    break on purpose.
+    `tick` is the interval of periodic tasks, `incarnation` the wall clock in
+    milliseconds at the start of the process. `suspect_after` is the silence
+    after which a neighbour counts as unreachable, `link_dead_after` that
+    after which its link is closed. `orphan_hold` is how long the targets of a
+    lost node are kept, `settle` how long a started node collects
+    announcements before it replaces the targets of its earlier incarnation,
+    `pull_again` after how long an entry that a peer did not send is requested
+    from another one. With `sparse`, only holders of a relay slot link to
+    other failure domains and send them their own domain's updates, since
+    bytes between domains cost much; `dear_flush_after` is how long these
+    updates are batched. `faults` are network faults injected by tests.
     """
 
     cluster: str
--- a/hillfield/fleet/slots.py
+++ b/hillfield/fleet/slots.py
@@ -1,4 +1,4 @@
-"""Which relay slots of a failure domain are open, and whose turn it is."""
+"""Find open relay slots of a failure domain, and which node claims them."""
 
 from typing import Final
 
@@ -8,19 +8,20 @@
 from hillfield.fleet.replication.summary import hash_text
 
 SLOTS_PER_DOMAIN: Final = 2
+# Seconds between the claims of two nodes that are next to each other in rank.
 CLAIM_STAGGER: Final = 1.0
 MAX_STAGGER_STEPS: Final = 8
 
 
 class OpenSlot(Struct, frozen=True):
-    """Name an open slot and how many seconds to wait before taking it."""
+    """Name an open slot and how many seconds to wait before claiming it."""
 
     slot: str
     wait: float
 
 
 def prefix_of(cluster: str) -> str:
-    """Return what the keys of relay entries start with.
+    """Return the key prefix of relay entries.
 
     >>> prefix_of('north')
     '/hillfield/north/relays/'
@@ -29,7 +30,7 @@
 
 
 def make_configuration_prefixes(cluster: str) -> tuple[str, str]:
-    """Return what the keys of the configuration start with.
+    """Return the key prefixes of the configuration.
 
     >>> make_configuration_prefixes('north')[0]
     '/hillfield/north/templates/'
@@ -39,11 +40,12 @@
 
 
 def find_open_slot(core: Core) -> OpenSlot | None:
-    """Return a slot of our domain that no live node says it holds.
+    """Return a slot of this failure domain that no live node holds.
 
-    The records tell it, so that a quiet fleet asks the store nothing. The
-    domain's nodes wait for their turn in an order of their own for each
-    slot, so that one takes it and the others see that.
+    Nodes publish the slot that they hold in their records, so a fleet without
+    changes makes no store calls. The domain's nodes wait for different times,
+    by their rank for the slot, so that one claims it and the others receive
+    its record before they would.
     """
     domain = core.settings.locality.failure_domain
     peers = [
@@ -57,15 +59,15 @@
     if opened is None or core.own.record.relay_of:
         return None
     rivals = [record.name for record in peers if not record.relay_of]
-    return OpenSlot(opened, _turn_of(core.settings.name, opened, rivals))
+    return OpenSlot(opened, _compute_wait(core.settings.name, opened, rivals))
 
 
 def rank_of(slot: str, name: str) -> int:
-    """Return a node's rank for a slot, alike at all nodes; the least wins."""
+    """Return a node's rank for a slot, the same at all nodes; lowest first."""
     return hash_text(f'{slot}>{name}')
 
 
-def _turn_of(own_name: str, slot: str, rivals: list[str]) -> float:
+def _compute_wait(own_name: str, slot: str, rivals: list[str]) -> float:
     mine = rank_of(slot, own_name)
     before = sum(rank_of(slot, rival) < mine for rival in rivals)
     return min(before, MAX_STAGGER_STEPS) * CLAIM_STAGGER
--- a/hillfield/fleet/state.py
+++ b/hillfield/fleet/state.py
@@ -1,4 +1,4 @@
-"""The fleet as one node knows it: messages and time in, effects out."""
+"""One node's view of the fleet: a state machine of events and effects."""
 
 from math import inf
 
@@ -21,18 +21,18 @@
 
 
 class FleetState:
-    """Hold a node's share of the fleet; pure but for its own memory.
+    """Hold a node's fleet state; does no I/O and reads no clock.
 
     `core` gives read access to members, targets, evidence and counts.
     """
 
     def __init__(self, settings: FleetSettings, store: EntryStore) -> None:
-        """Start as the only member, with nothing published."""
+        """Create a state with this node as the only member."""
         self.core = build_core(settings, store)
         self._publisher = Publisher(self.core)
 
     def handle_event(self, now: float, event: Event) -> tuple[Effect, ...]:
-        """Take an event in and return what is to be done."""
+        """Apply an event and return the effects to run."""
         core = self.core
         handle_event(event, core, now)
         if isinstance(event, Ticked):
@@ -48,7 +48,7 @@
         now: float,
         targets: tuple[Target, ...],
     ) -> None:
-        """Set the targets of this host; they spread if they changed."""
+        """Set the targets of this host and disseminate them if changed."""
         self._publisher.update_targets(now, targets)
 
     def publish_evidence(
@@ -56,34 +56,39 @@
         now: float,
         evidence: tuple[Evidence, ...],
     ) -> None:
-        """Set what this node tells others of targets; empty ends it."""
+        """Set the evidence that this node publishes; empty withdraws it."""
         self._publisher.update_evidence(now, evidence)
 
     def submit(
-        self, entry: Entry, way: EntrySource = EntrySource.WRITE
+        self, entry: Entry, entry_source: EntrySource = EntrySource.WRITE
     ) -> bool:
-        """Adopt an entry of the store and spread it; False: not newer."""
-        return entry_dissemination.adopt_entry(self.core, entry, None, way)
+        """Adopt and announce an entry; return False if it is not newer."""
+        return entry_dissemination.adopt_entry(
+            self.core, entry, None, entry_source
+        )
 
     def mark_loaded(self) -> None:
-        """Note that all entries of the store have been submitted."""
+        """Record that all entries of the store have been submitted."""
         self.core.own.loaded = True
 
     def set_relay_slot(self, slot: str) -> None:
-        """Tell the fleet which relay slot this node holds (empty: none)."""
+        """Publish which relay slot this node holds (empty: none)."""
         self.core.own.record = replace(self.core.own.record, relay_of=slot)
 
     def add_address(self, now: float, address: Address) -> None:
-        """Remember an address at which a peer may be found."""
+        """Remember an address at which a peer may listen."""
         self.core.addresses.add(now, address)
 
     def dial(self, now: float, address: Address) -> None:
-        """Link to an address at the next tick, and remember it."""
+        """Open a link to an address at the next tick, and remember it."""
         self.add_address(now, address)
         link_maintenance.dial_peer(self.core, now, address)
 
     def leave(self, now: float) -> tuple[Effect, ...]:
-        """Say goodbye; targets of this host stay for the orphan hold."""
+        """Publish that this node leaves and close its links.
+
+        Other nodes keep the targets of this host for `orphan_hold` seconds.
+        """
         core = self.core
         core.own.record = replace(
             core.own.record,
--- a/hillfield/fleet/state_table.py
+++ b/hillfield/fleet/state_table.py
@@ -1,4 +1,4 @@
-"""The newest statement of each node, and who can be reached."""
+"""The newest state updates of each node, and which nodes are reachable."""
 
 from collections import deque
 from collections.abc import Iterator, Mapping
@@ -7,11 +7,12 @@
 from hillfield.fleet.records import Kind, NodeRecord, RecordCodec
 from hillfield.fleet.replication.summary import Summary
 
+# Kinds that neighbours compare by hashes; evidence is published again instead.
 SUMMARIZED_KINDS = frozenset((Kind.MEMBER, Kind.TARGETS))
 
 
 def make_update_key(kind: str, name: str) -> str:
-    """Return the key under which a statement is summed up.
+    """Return the key of an update in the table and its summary.
 
     >>> make_update_key('m', 'node-1')
     'mnode-1'
@@ -23,18 +24,18 @@
     records: Mapping[str, NodeRecord],
     root: str,
 ) -> frozenset[str]:
-    """Return the nodes whose messages can get to `root`.
+    """Return the nodes from which messages can get to `root`.
 
-    A node is reached over those that hear it: so a one-way path takes away
-    one edge, and a dead host all of its edges.
+    The graph's edges lead from a node to those that it receives from. So a
+    one-way partition removes one edge, and a dead host all of its edges.
     """
     reached = {root}
     waiting = deque((root,))
     while waiting:
         record = records.get(waiting.popleft())
-        heard = () if record is None else record.receives_from
+        senders = () if record is None else record.receives_from
         fresh = [
-            name for name in heard if name in records and name not in reached
+            name for name in senders if name in records and name not in reached
         ]
         reached.update(fresh)
         waiting.extend(fresh)
@@ -42,7 +43,7 @@
 
 
 class StateTable:
-    """Hold the newest statement of each kind and name."""
+    """Hold the newest update of each kind and name."""
 
     def __init__(self, codec: RecordCodec) -> None:
         """Start empty."""
@@ -55,55 +56,53 @@
         self._held: dict[str, Statement] = {}
 
     def __len__(self) -> int:
-        """Return how many statements are held."""
+        """Return how many updates are held."""
         return len(self._held)
 
     def get(self, kind: str, name: str) -> Statement | None:
-        """Return what a node said last."""
+        """Return a node's newest update of a kind."""
         return self._held.get(make_update_key(kind, name))
 
     def get_by_key(self, key: str) -> Statement | None:
-        """Return a statement by its key."""
+        """Return an update by its key."""
         return self._held.get(key)
 
     def is_newer(self, key: str, incarnation: int, version: int) -> bool:
-        """Return whether such a version would replace what is held."""
+        """Return whether such a version would replace the held one."""
         held = self._held.get(key)
         if held is None:
             return True
         return (incarnation, version) > (held.incarnation, held.version)
 
-    def accept(self, statement: Statement) -> bool:
-        """Take a statement if it is newer than what is held."""
-        key = make_update_key(statement.kind, statement.name)
-        if not self.is_newer(key, statement.incarnation, statement.version):
+    def accept(self, update: Statement) -> bool:
+        """Store an update if it is newer than the held one."""
+        key = make_update_key(update.kind, update.name)
+        if not self.is_newer(key, update.incarnation, update.version):
             return False
-        if statement.kind == Kind.MEMBER and not self._read(statement):
+        if update.kind == Kind.MEMBER and not self._adopt_record(update):
             return False
         self._drop(key)
-        self._held[key] = statement
-        self.held_bytes += len(statement.payload)
-        if statement.name in self.alive:
-            self._sum_up(statement)
+        self._held[key] = update
+        self.held_bytes += len(update.payload)
+        if update.name in self.alive:
+            self._summarize(update)
         return True
 
     def refresh_alive(self, root: str) -> frozenset[str]:
-        """Find anew who is alive; return the names that changed."""
+        """Compute the reachable nodes; return the names that changed."""
         self.members_stale = False
         before = self.alive
         self.alive = find_reachable(self.records, root)
         changed = before ^ self.alive
-        for statement in self._statements_of(changed):
-            if statement.name in self.alive:
-                self._sum_up(statement)
+        for update in self._updates_of(changed):
+            if update.name in self.alive:
+                self._summarize(update)
             else:
-                self.summary.drop(
-                    make_update_key(statement.kind, statement.name)
-                )
+                self.summary.drop(make_update_key(update.kind, update.name))
         return changed
 
     def forget(self, name: str) -> None:
-        """Drop all that a lost node said."""
+        """Drop all updates of a lost node."""
         self.records.pop(name, None)
         for kind in Kind:
             key = make_update_key(kind, name)
@@ -115,24 +114,24 @@
         if held is not None:
             self.held_bytes -= len(held.payload)
 
-    def _read(self, statement: Statement) -> bool:
-        record = self._codec.decode_record(statement.payload)
-        if record is None or record.name != statement.name:
+    def _adopt_record(self, update: Statement) -> bool:
+        record = self._codec.decode_record(update.payload)
+        if record is None or record.name != update.name:
             return False
-        before = self.records.get(statement.name)
+        before = self.records.get(update.name)
         if before is None or before.receives_from != record.receives_from:
             self.members_stale = True
-        self.records[statement.name] = record
+        self.records[update.name] = record
         return True
 
-    def _sum_up(self, statement: Statement) -> None:
-        if statement.kind in SUMMARIZED_KINDS:
-            key = make_update_key(statement.kind, statement.name)
+    def _summarize(self, update: Statement) -> None:
+        if update.kind in SUMMARIZED_KINDS:
+            key = make_update_key(update.kind, update.name)
             self.summary.put(
-                Version(key, statement.incarnation, statement.version),
+                Version(key, update.incarnation, update.version),
             )
 
-    def _statements_of(self, names: frozenset[str]) -> Iterator[Statement]:
+    def _updates_of(self, names: frozenset[str]) -> Iterator[Statement]:
         for name in names:
             for kind in Kind:
                 held = self.get(kind, name)
--- a/hillfield/fleet/state_updates.py
+++ b/hillfield/fleet/state_updates.py
@@ -1,4 +1,4 @@
-"""Take statements in, pass them on, and make this node's own."""
+"""Receive, forward and publish state updates."""
 
 from typing import Final
 
@@ -10,12 +10,16 @@
 from hillfield.fleet.peering.link_table import Link
 from hillfield.fleet.records import Kind
 
+# Bounds of what is held of all nodes together, and of one update.
 UPDATE_LIMIT: Final = 8192
 HELD_BYTES_LIMIT: Final = 33554432
 PAYLOAD_LIMIT: Final = 65536
 NAME_LIMIT: Final = 256
-# Far above any wall clock in milliseconds, far below what a message can hold.
+# Highest incarnation or version: far above any wall clock in milliseconds, far
+# below the largest integer of a message.
 NUMBER_LIMIT: Final = 4503599627370496
+# Seconds within which a second conflict over this node's name is another
+# process with the same name, not a clock that was set back.
 NAME_CONFLICT_WINDOW: Final = 30.0
 KINDS: Final = frozenset(kind.value for kind in Kind)
 
@@ -23,113 +27,112 @@
 def receive_update(
     core: Core,
     now: float,
-    statement: Statement,
+    update: Statement,
     source: Link | None,
 ) -> None:
-    """Take a peer's statement and pass it on if it is new here."""
-    flaw = find_update_problem(core, statement)
-    if flaw:
-        core.count(flaw)
+    """Accept a peer's update and forward it if it is newer than the held one."""
+    problem = find_update_problem(core, update)
+    if problem:
+        core.count(problem)
         return
-    if statement.name == core.own.record.name:
-        if statement.incarnation >= core.own.incarnation:
-            _meet_namesake(core, now, statement)
+    if update.name == core.own.record.name:
+        if update.incarnation >= core.own.incarnation:
+            _resolve_name_conflict(core, now, update)
             return
     if source is not None:
-        core.outbox.drop_known(source.address, statement)
-    if core.book.accept(statement):
-        _spread(core, statement, source)
-        _show(core, now, statement)
+        core.outbox.drop_known(source.address, update)
+    if core.book.accept(update):
+        _forward(core, update, source)
+        _apply(core, now, update)
 
 
-def find_update_problem(core: Core, statement: Statement) -> str:
-    """Return why a statement isn't taken; empty: it may be.
+def find_update_problem(core: Core, update: Statement) -> str:
+    """Return why an update is refused; empty if it is acceptable.
 
-    A kind that isn't known here would never be forgotten. A number near the
-    end of its range could never be replaced by its node. When all room is
-    taken, nodes that are known still have theirs replaced.
+    Updates of an unknown kind would never be forgotten. A version near the
+    end of its range could not be exceeded by its node. When the limits are
+    reached, updates that replace a held one are still accepted.
     """
-    if statement.kind not in KINDS:
+    if update.kind not in KINDS:
         return 'unknown-kind'
-    numbers = (statement.incarnation, statement.version)
+    numbers = (update.incarnation, update.version)
     if min(numbers) < 0 or max(numbers) > NUMBER_LIMIT:
         return 'absurd-version'
-    long = len(statement.name) > NAME_LIMIT
-    if long or len(statement.payload) > PAYLOAD_LIMIT:
+    long = len(update.name) > NAME_LIMIT
+    if long or len(update.payload) > PAYLOAD_LIMIT:
         return 'oversized-statement'
-    known = core.book.get_by_key(
-        make_update_key(statement.kind, statement.name)
-    )
-    return '' if known or _has_room(core.book) else 'no-room'
+    known = core.book.get_by_key(make_update_key(update.kind, update.name))
+    return '' if known or _is_within_limits(core.book) else 'no-room'
 
 
-def _has_room(book: StateTable) -> bool:
-    return len(book) < UPDATE_LIMIT and book.held_bytes < HELD_BYTES_LIMIT
+def _is_within_limits(table: StateTable) -> bool:
+    return len(table) < UPDATE_LIMIT and table.held_bytes < HELD_BYTES_LIMIT
 
 
 def publish(core: Core, now: float, kind: Kind, payload: bytes) -> None:
-    """Make a statement of this node's own."""
+    """Publish an update of this node's own state."""
     version = core.own.versions.get(kind, 0) + 1
     core.own.versions[kind] = version
-    statement = Statement(
+    update = Statement(
         kind=kind,
         name=core.own.record.name,
         incarnation=core.own.incarnation,
         version=version,
         payload=payload,
     )
-    core.book.accept(statement)
-    _spread(core, statement, None)
-    _show(core, now, statement)
+    core.book.accept(update)
+    _forward(core, update, None)
+    _apply(core, now, update)
 
 
-def _spread(core: Core, statement: Statement, source: Link | None) -> None:
+def _forward(core: Core, update: Statement, source: Link | None) -> None:
     for link in core.links:
         if (
             link.up
             and link is not source
-            and is_update_sent(core, link, statement)
+            and is_update_sent(core, link, update)
         ):
             core.outbox.queue_update(
                 link.address,
-                statement,
-                dear=is_cross_domain(core, link),
+                update,
+                cross_domain=is_cross_domain(core, link),
             )
 
 
-def _show(core: Core, now: float, statement: Statement) -> None:
-    name = statement.name
+def _apply(core: Core, now: float, update: Statement) -> None:
+    name = update.name
     own = name == core.own.record.name
     if name not in core.book.alive and not own:
         core.lost_since.setdefault(name, now)
-    if statement.kind == Kind.EVIDENCE:
+    if update.kind == Kind.EVIDENCE:
         core.findings.record_update(now, name)
-    if statement.kind == Kind.TARGETS:
+    if update.kind == Kind.TARGETS:
         if own or name in core.book.alive or core.view.lists_node(name):
             core.view.update_node(name)
 
 
-def _meet_namesake(core: Core, now: float, statement: Statement) -> None:
-    """Get above what the fleet remembers of this node's name.
+def _resolve_name_conflict(core: Core, now: float, update: Statement) -> None:
+    """Raise this node's incarnation above one that the fleet holds.
 
-    Once is a clock that was set back; again and again is another process
-    with the same name, and raising further would only feed the quarrel.
+    A single conflict means that the clock was set back. Repeated conflicts
+    mean that another process uses the same name; both would then raise their
+    incarnations without end.
     """
-    own = core.book.get_by_key(make_update_key(statement.kind, statement.name))
-    if statement == own:
+    own = core.book.get_by_key(make_update_key(update.kind, update.name))
+    if update == own:
         return
-    mine = (core.own.incarnation, core.own.versions.get(statement.kind, 0))
-    if (statement.incarnation, statement.version) < mine:
+    mine = (core.own.incarnation, core.own.versions.get(update.kind, 0))
+    if (update.incarnation, update.version) < mine:
         return
     if now - core.own.name_conflict < NAME_CONFLICT_WINDOW:
         core.count('name-taken')
         if core.counts['name-taken'] == 1:
-            core.report(EventCode.NAME_TAKEN, peer=statement.name)
+            core.report(EventCode.NAME_TAKEN, peer=update.name)
         return
     core.own.name_conflict = now
-    core.own.incarnation = statement.incarnation + 1
-    core.report(EventCode.INCARNATION_RAISED, peer=statement.name)
+    core.own.incarnation = update.incarnation + 1
+    core.report(EventCode.INCARNATION_RAISED, peer=update.name)
     for kind in core.own.versions:
-        held = core.book.get(kind, statement.name)
+        held = core.book.get(kind, update.name)
         if held is not None:
             publish(core, now, Kind(kind), held.payload)
--- a/hillfield/fleet/store_submission.py
+++ b/hillfield/fleet/store_submission.py
@@ -1,4 +1,4 @@
-"""Feed what the store holds into the fleet, never an older entry."""
+"""Submit values and snapshots of the store to the fleet."""
 
 from hillfield.configuration.entries import Entry
 from hillfield.events import EventCode
@@ -9,12 +9,12 @@
 
 
 def submit_value(
-    state: FleetState, stored: StoredValue, way: EntrySource
+    state: FleetState, stored: StoredValue, entry_source: EntrySource
 ) -> bool:
-    """Submit one stored value; False when it is no news."""
+    """Submit one stored value; return False if it is not newer."""
     return state.submit(
         Entry(stored.key, stored.revision, stored.payload),
-        way,
+        entry_source,
     )
 
 
@@ -26,8 +26,8 @@
 ) -> None:
     """Submit a snapshot and the deletions that it shows.
 
-    `known` is the newest revision that was held before it was read: a
-    snapshot from before that comes of a store that was rolled back.
+    `known` is the newest revision held before the snapshot was read: an older
+    snapshot comes from a store that was rolled back.
     """
     core = state.core
     if snapshot.revision < known:
@@ -39,11 +39,9 @@
         )
     present = {stored.key for stored in snapshot.entries}
     for stored in snapshot.entries:
-        submit_value(state, stored, EntrySource.READING)
+        submit_value(state, stored, EntrySource.READ)
     for key in core.ledger.keys_under(prefix):
         if key not in present:
-            # A key that was written after the snapshot has a higher
-            # revision, which refuses this deletion.
-            state.submit(
-                Entry(key, snapshot.revision, b''), EntrySource.READING
-            )
+            # If the key was written after the snapshot, its revision is
+            # higher and this deletion is refused.
+            state.submit(Entry(key, snapshot.revision, b''), EntrySource.READ)
--- a/hillfield/fleet/tests/test_cross_domain_links.py
+++ b/hillfield/fleet/tests/test_cross_domain_links.py
@@ -29,13 +29,13 @@
     def count(self, kind):
         return sum(isinstance(message, kind) for message in self.crossed)
 
-    def _hand_over(self, letter):
-        sender = self.states.get(letter.sender)
-        receiver = self.states[letter.receiver]
-        opened = Codec(receiver.core.settings).open(letter.sealed)
+    def _deliver_message(self, message):
+        sender = self.states.get(message.sender)
+        receiver = self.states[message.receiver]
+        opened = Codec(receiver.core.settings).open(message.sealed)
         if sender is None or domain_of(sender) != domain_of(receiver):
             self.crossed.append(opened.ok.message)
-        super()._hand_over(letter)
+        super()._deliver_message(message)
 
 
 def domain_of(state):
@@ -123,12 +123,12 @@
     )
     mesh.run(2)
     told = [
-        statement
+        update
         for message in mesh.crossed
         if isinstance(message, Statements)
-        for statement in message.statements
+        for update in message.updates
     ]
-    assert {statement.name for statement in told} == {changed.name}
+    assert {update.name for update in told} == {changed.name}
     assert len(told) <= HOLDERS * 2 * (len(DOMAINS) - 1)
     assert target_of(changed, 2).id in seen_by(mesh, ALL[-1])
 
--- a/hillfield/fleet/tests/test_robustness.py
+++ b/hillfield/fleet/tests/test_robustness.py
@@ -85,13 +85,13 @@
     record,
     rows_of_targets,
 ).map(encode)
-statement = st.builds(Statement, kind, word, number, number, payload)
+update = st.builds(Statement, kind, word, number, number, payload)
 buckets = st.lists(number, min_size=64, max_size=64).map(tuple)
 message = st.one_of(
     st.builds(Hello, address, place, st.booleans()),
     st.builds(Goodbye, word),
     st.builds(Heartbeat, number, number, st.booleans()),
-    st.builds(Statements, listed(statement)),
+    st.builds(Statements, listed(update)),
     st.builds(Entries, listed(st.builds(Entry, word, number, payload))),
     st.builds(Have, versions),
     st.builds(Want, number, names),
--- a/hillfield/fleet/traffic.py
+++ b/hillfield/fleet/traffic.py
@@ -1,6 +1,7 @@
 """Measure the bytes that one change costs each node of a small fleet.
 
-All messages are sealed and counted; the fleet is of states in one process.
+All messages are encoded and counted; the fleet consists of states in one
+process.
 """
 
 from random import Random
@@ -24,10 +25,11 @@
 
 
 class Traffic(Struct, frozen=True):
-    """Hold bytes received: a second when quiet, and on top by a change.
+    """Hold the bytes received per node.
 
-    All are per node. `restart` counts a node that is gone and back within
-    20 s, `loss` one that stays away, `entry` a changed entry of 4 KB.
+    `quiet` is the rate per second without changes, the others the bytes on
+    top of that in 20 s: `restart` of a restarted node, `loss` of one that
+    stays away, `entry` of a changed entry of 4 KB.
     """
 
     nodes: int
@@ -38,7 +40,7 @@
 
 
 def measure_traffic(nodes: int) -> Traffic:
-    """Measure a fleet of so many states."""
+    """Measure a fleet of this number of states."""
     mesh = start_mesh(nodes)
     quiet = _watch(mesh)
     addresses = tuple(mesh.states)
@@ -60,7 +62,7 @@
 
 
 def start_mesh(nodes: int) -> Mesh:
-    """Return a settled fleet of so many states, with targets and an entry."""
+    """Return a settled fleet with targets and one configuration entry."""
     mesh = Mesh(Random(SEED))
     seeds = tuple(settings_of(number).link for number in range(3))
     for number in range(nodes):
@@ -76,11 +78,11 @@
 def _announce(mesh: Mesh, address: Address, state: FleetState) -> None:
     codec = RecordCodec()
     number = address.port - settings_of(0).link.port
-    statement = targets_statement(codec, number, TARGETS_A_NODE)
+    update = targets_statement(codec, number, TARGETS_A_NODE)
     home = state.core.settings.locality
     state.publish_targets(
         mesh.now,
-        codec.decode_targets(home, statement.payload),
+        codec.decode_targets(home, update.payload),
     )
 
 
--- a/hillfield/fleet/view.py
+++ b/hillfield/fleet/view.py
@@ -1,4 +1,4 @@
-"""The targets of the fleet by service, read only when asked for."""
+"""The targets of the fleet by service, decoded on demand."""
 
 from msgspec import Struct
 
@@ -8,23 +8,23 @@
 
 
 class ListedServices(Struct, frozen=True):
-    """Say of one node which services its targets serve."""
+    """Name the services of one node's targets."""
 
     services: tuple[str, ...]
 
 
 class TargetView:
-    """Find targets by service; `revision_of` counts a service's changes.
+    """Look up targets by service; `revision_of` counts a service's changes.
 
-    Payloads stay coded and are read for the services that are asked for, so
-    that a node pays only for what it proxies.
+    Payloads stay encoded and are decoded only for services that are asked
+    for, so that a node pays only for the services that it proxies.
     """
 
-    def __init__(self, book: StateTable, codec: RecordCodec) -> None:
-        """Show the targets of a book's statements."""
-        self._book = book
+    def __init__(self, table: StateTable, codec: RecordCodec) -> None:
+        """Read the targets of a state table's updates."""
+        self._table = table
         self._codec = codec
-        self._shown: dict[str, ListedServices] = {}
+        self._listed: dict[str, ListedServices] = {}
         self._nodes: dict[str, set[str]] = {}
         self._revisions: dict[str, int] = {}
         self._cache: dict[str, tuple[Target, ...]] = {}
@@ -45,42 +45,42 @@
             self._cache[service] = tuple(
                 target
                 for name in sorted(self._nodes.get(service, ()))
-                for target in self._read(name)
+                for target in self._decode_targets(name)
                 if target.id.service == service
             )
         return self._cache[service]
 
     def targets(self) -> tuple[Target, ...]:
-        """Return all targets, read anew: dear at full size."""
+        """Return all targets; decodes every payload, costly in large fleets."""
         return tuple(
             target
-            for name in sorted(self._shown)
-            for target in self._read(name)
+            for name in sorted(self._listed)
+            for target in self._decode_targets(name)
         )
 
     def update_node(self, name: str) -> None:
-        """Show what a node's latest statement says."""
-        found = self._read(name)
+        """List the targets of a node's latest update."""
+        found = self._decode_targets(name)
         services = tuple(sorted({target.id.service for target in found}))
-        before = self._shown.pop(name, ListedServices(()))
+        before = self._listed.pop(name, ListedServices(()))
         for gone in before.services:
             self._unlist(gone, name)
         if services:
-            self._shown[name] = ListedServices(services)
+            self._listed[name] = ListedServices(services)
         for service in services:
             self._nodes.setdefault(service, set()).add(name)
-        self._touch(before.services + services)
+        self._mark_changed(before.services + services)
 
     def remove_node(self, name: str) -> None:
-        """Show a node's targets no longer."""
-        before = self._shown.pop(name, ListedServices(()))
+        """Remove a node's targets from the lists."""
+        before = self._listed.pop(name, ListedServices(()))
         for gone in before.services:
             self._unlist(gone, name)
-        self._touch(before.services)
+        self._mark_changed(before.services)
 
     def lists_node(self, name: str) -> bool:
-        """Return whether a node's targets are shown."""
-        return name in self._shown
+        """Return whether a node's targets are listed."""
+        return name in self._listed
 
     def pop_changed(self) -> frozenset[str]:
         """Return the services that changed since the last call."""
@@ -88,12 +88,12 @@
         self._changed.clear()
         return changed
 
-    def _read(self, name: str) -> tuple[Target, ...]:
-        statement = self._book.get(Kind.TARGETS, name)
-        record = self._book.records.get(name)
-        if statement is None or record is None:
+    def _decode_targets(self, name: str) -> tuple[Target, ...]:
+        update = self._table.get(Kind.TARGETS, name)
+        record = self._table.records.get(name)
+        if update is None or record is None:
             return ()
-        return self._codec.decode_targets(record.locality, statement.payload)
+        return self._codec.decode_targets(record.locality, update.payload)
 
     def _unlist(self, service: str, name: str) -> None:
         nodes = self._nodes[service]
@@ -101,7 +101,7 @@
         if not nodes:
             self._nodes.pop(service)
 
-    def _touch(self, services: tuple[str, ...]) -> None:
+    def _mark_changed(self, services: tuple[str, ...]) -> None:
         for service in services:
             self._cache.pop(service, None)
             self._revisions[service] = self.revision_of(service) + 1
