--- a/hillfield/announcements/__init__.py
+++ b/hillfield/announcements/__init__.py
@@ -1,4 +1,4 @@
-"""Targets announce themselves to their host's node."""
+"""Announcements by which targets register at the node of their host."""
 
 from hillfield.announcements.incarnations import Life
 from hillfield.announcements.messages import (
--- a/hillfield/announcements/ended_incarnations.py
+++ b/hillfield/announcements/ended_incarnations.py
@@ -1,4 +1,4 @@
-"""Lives that have ended and must not come back."""
+"""Incarnations of targets that have ended and must not be listed again."""
 
 from typing import Final
 
@@ -10,56 +10,59 @@
 )
 from hillfield.settings import AnnouncementSettings
 
-# At some restarts a day and host this lasts for months.
+# Enough for months at a few restarts per day and host.
 RECORDS_KEPT: Final = 1024
 
 
 class EndedIncarnations:
-    """Remember the newest ended lives, and when each place's last ended.
+    """Hold ended incarnations, and when the last one of each endpoint ended.
 
-    All ended lives of a place count, not just its newest: a former process
-    may wake after its successor has come and gone.
+    Older incarnations of an endpoint are kept too: a suspended process may
+    resume after its successor has started and ended.
     """
 
     def __init__(self, settings: AnnouncementSettings) -> None:
         """Start empty."""
         self._settings = settings
-        self._lives: dict[tuple[Endpoint, int], None] = {}
-        self._ended: dict[Endpoint, float] = {}
+        self._incarnations: dict[tuple[Endpoint, int], None] = {}
+        self._last_ended: dict[Endpoint, float] = {}
 
-    def mark_ended(self, now: float, life: Life) -> None:
-        """Remember that this life has ended."""
-        identity = life.reported.id
-        place = Endpoint(identity.service, identity.address)
-        self._lives[(place, identity.incarnation)] = None
-        self._ended.pop(place, None)
-        self._ended[place] = now
-        while len(self._lives) > RECORDS_KEPT:
-            self._lives.pop(next(iter(self._lives)))
-        while len(self._ended) > RECORDS_KEPT:
-            self._ended.pop(next(iter(self._ended)))
+    def mark_ended(self, now: float, ended: Life) -> None:
+        """Record that an incarnation has ended."""
+        identity = ended.reported.id
+        endpoint = Endpoint(identity.service, identity.address)
+        self._incarnations[(endpoint, identity.incarnation)] = None
+        self._last_ended.pop(endpoint, None)
+        self._last_ended[endpoint] = now
+        while len(self._incarnations) > RECORDS_KEPT:
+            self._incarnations.pop(next(iter(self._incarnations)))
+        while len(self._last_ended) > RECORDS_KEPT:
+            self._last_ended.pop(next(iter(self._last_ended)))
 
     def find_problem(
         self,
         now: float,
-        place: Endpoint,
+        endpoint: Endpoint,
         announcement: Announcement,
     ) -> AnnouncementProblem | None:
-        """Tell why this announcement is of a life that has ended.
+        """Refuse an announcement of an incarnation that has ended.
 
-        Without an incarnation a late heartbeat can't be told from a restart:
-        then the place rests for one heartbeat.
+        Without an incarnation, a late heartbeat looks like that of a restarted
+        target: the endpoint is then refused for one heartbeat interval.
         """
         if announcement.incarnation is None:
-            ended = now - self._ended.get(place, float('-inf'))
-            is_over = ended < self._settings.heartbeat
+            since = now - self._last_ended.get(endpoint, float('-inf'))
+            is_ended = since < self._settings.heartbeat
         else:
-            is_over = (place, announcement.incarnation) in self._lives
-        if not is_over:
+            is_ended = (
+                endpoint,
+                announcement.incarnation,
+            ) in self._incarnations
+        if not is_ended:
             return None
         return AnnouncementProblem(
             Refusal.STALE,
             'incarnation',
             str(announcement.incarnation),
-            'this life has ended; announce a restart with a higher one',
+            'this incarnation has ended; announce a restart with a higher one',
         )
--- a/hillfield/announcements/incarnations.py
+++ b/hillfield/announcements/incarnations.py
@@ -1,4 +1,4 @@
-"""One life of a target as its node knows it."""
+"""The state of one announced incarnation of a target."""
 
 from typing import Final
 
@@ -13,20 +13,20 @@
 
 
 class Endpoint(Struct, frozen=True, order=True):
-    """Say which service a target serves, and where."""
+    """Identify a target, over its restarts, by service and address."""
 
     service: str
     address: Address
 
 
 class Life(Struct, frozen=True):
-    """Hold a target's newest announcement and what is told of it.
+    """Hold a target's newest announcement and what is published of it.
 
-    `reported` is what the target says, `shown` what other nodes are told (never
-    the load);
-    `heard`, `last_change` and `drain_started` are monotonic seconds: the newest
-    heartbeat, the newest change of `shown`, the start of the drain.
-    `chose_incarnation` says that the target chose its incarnation itself.
+    `reported` is the target as announced, `shown` as published to other
+    nodes, without the load. `heard`, `last_change` and `drain_started` are
+    monotonic seconds: the newest heartbeat, the newest change of `shown` and
+    the start of the drain. `chose_incarnation` is whether the target itself
+    set its incarnation.
     """
 
     reported: Target
@@ -37,11 +37,11 @@
     drain_started: float | None = None
 
     def is_silent(self, now: float, settings: AnnouncementSettings) -> bool:
-        """Return whether heartbeats have been missing for the expiry."""
+        """Return whether the last heartbeat is older than the expiry."""
         return now - self.heard > settings.expiry
 
     def is_expired(self, now: float, settings: AnnouncementSettings) -> bool:
-        """Return whether the life is to be forgotten."""
+        """Return whether the incarnation is to be removed."""
         if not self.is_silent(now, settings):
             return False
         if self.drain_started is None:
@@ -49,7 +49,7 @@
         return now - self.drain_started > settings.drain_seconds
 
     def discount_pause(self, now: float, seconds: float) -> 'Life':
-        """Return the life as if it had been heard so many seconds later."""
+        """Return a copy whose last heartbeat is this many seconds later."""
         return replace(self, heard=min(now, self.heard + seconds))
 
     def is_continued_by(
@@ -58,10 +58,10 @@
         announcement: Announcement,
         settings: AnnouncementSettings,
     ) -> bool:
-        """Return whether the announcement is not the start of a new life.
+        """Return whether the announcement does not start a new incarnation.
 
-        That of an earlier life counts as this one's while heartbeats come,
-        so that it is refused rather than listed.
+        While heartbeats come, this is also true for an announcement of an
+        earlier incarnation, so that it is refused rather than listed.
         """
         known = self.reported.id.incarnation
         if announcement.incarnation == known:
@@ -78,7 +78,7 @@
     locality: Locality,
     incarnation: int,
 ) -> Target:
-    """Make the target; the node's locality fills in what it left out."""
+    """Build the target; the node's locality replaces missing parts."""
     limit = announcement.connection_limit
     return Target(
         TargetId(announcement.service, announcement.address, incarnation),
@@ -95,42 +95,49 @@
     )
 
 
-def start_incarnation(now: float, reported: Target, *, given: bool) -> Life:
-    """Start a life with its first announcement."""
-    shown = replace(reported, load=None)
+def start_incarnation(now: float, reported: Target, *, chosen: bool) -> Life:
+    """Build the state after the first announcement.
+
+    `chosen` is whether the target itself set its incarnation.
+    """
+    without_load = replace(reported, load=None)
     is_draining = reported.state is TargetState.DRAINING
     started = now if is_draining else None
-    return Life(reported, shown, now, now, given, started)
+    return Life(reported, without_load, now, now, chosen, started)
 
 
 def update_incarnation(
     now: float,
-    life: Life,
+    current: Life,
     reported: Target,
     settings: AnnouncementSettings,
 ) -> Life:
-    """Take the next announcement; a drain is never taken back."""
-    if life.drain_started is not None:
+    """Apply the next announcement; a drain is never revoked."""
+    if current.drain_started is not None:
         reported = replace(reported, state=TargetState.DRAINING)
-    heard = replace(life, reported=reported, heard=now)
-    plain = replace(reported, load=None)
-    if plain == life.shown or not _may_show(now, life, plain, settings):
-        return heard
-    started = life.drain_started
+    updated = replace(current, reported=reported, heard=now)
+    without_load = replace(reported, load=None)
+    if without_load == current.shown or not _is_change_due(
+        now, current, without_load, settings
+    ):
+        return updated
+    started = current.drain_started
     if started is None and reported.state is TargetState.DRAINING:
         started = now
-    return replace(heard, shown=plain, last_change=now, drain_started=started)
+    return replace(
+        updated, shown=without_load, last_change=now, drain_started=started
+    )
 
 
-def _may_show(
+def _is_change_due(
     now: float,
-    life: Life,
+    current: Life,
     reported: Target,
     settings: AnnouncementSettings,
 ) -> bool:
-    if _is_urgent(life.shown.state, reported.state):
+    if _is_urgent(current.shown.state, reported.state):
         return True
-    return now - life.last_change >= settings.change_interval
+    return now - current.last_change >= settings.change_interval
 
 
 def _is_urgent(old: TargetState, new: TargetState) -> bool:
--- a/hillfield/announcements/messages.py
+++ b/hillfield/announcements/messages.py
@@ -1,4 +1,4 @@
-"""What targets tell their host's node, and why it may be refused."""
+"""The announcements of targets to their host's node, and their refusals."""
 
 from enum import StrEnum
 from itertools import islice
@@ -14,7 +14,7 @@
 from hillfield.settings.tables import prepare_table
 
 LARGEST_COUNT: Final = 100000
-# More than a target that is written wrong has; a body may hold thousands.
+# More than a faulty target causes; a malicious body may cause thousands.
 PROBLEMS_REPORTED: Final = 16
 LARGEST_WEIGHT: Final = 1000
 LARGEST_INCARNATION: Final = 9223372036854775807
@@ -65,7 +65,7 @@
 
 
 class AnnouncementProblem(Struct, frozen=True):
-    """Name the refusal, the field, what stood there, and the fix."""
+    """Describe a refusal: the field, its value and how to fix it."""
 
     refusal: Refusal
     field: str
@@ -74,9 +74,9 @@
 
 
 class Announcement(Struct, frozen=True):
-    """Hold one announcement; empty places are filled in from the node.
+    """Hold one announcement; the node's locality replaces missing parts.
 
-    `connection_limit` None means four connections a slot.
+    A `connection_limit` of None means four connections per slot.
     """
 
     service: Name
@@ -95,7 +95,7 @@
 def read_announcement(
     body: bytes,
 ) -> Result[Announcement, tuple[AnnouncementProblem, ...]]:
-    """Read JSON; the error names what is malformed, at most 16 fields.
+    """Parse JSON; the error names the malformed fields, at most 16.
 
     >>> body = b'{"service": "s", "address": "127.0.0.1:80", "slots": 4}'
     >>> read_announcement(body).ok.slots
--- a/hillfield/announcements/problems.py
+++ b/hillfield/announcements/problems.py
@@ -1,4 +1,4 @@
-"""Refusals of announcements that are well formed."""
+"""Refusals of well-formed announcements."""
 
 from hillfield.announcements.messages import (
     AnnouncementProblem,
@@ -12,7 +12,7 @@
     count: int,
     settings: AnnouncementSettings,
 ) -> AnnouncementProblem | None:
-    """Refuse one target more than the node keeps."""
+    """Refuse a target beyond the number that the node keeps."""
     if count < settings.maximum:
         return None
     return AnnouncementProblem(
@@ -27,12 +27,12 @@
     incarnation: int | None,
     known: int,
 ) -> AnnouncementProblem:
-    """Refuse what a life other than the known one says."""
+    """Refuse a request of an incarnation other than the listed one."""
     return AnnouncementProblem(
         Refusal.STALE,
         'incarnation',
         str(incarnation),
-        f'the life listed here is {known}; a restart must go above it',
+        f'the incarnation listed here is {known}; a restart must be higher',
     )
 
 
@@ -40,7 +40,7 @@
     service: str,
     address: Address,
 ) -> AnnouncementProblem:
-    """Refuse to withdraw what isn't listed."""
+    """Refuse to withdraw a target that is not listed."""
     return AnnouncementProblem(
         Refusal.UNKNOWN,
         'address',
--- a/hillfield/announcements/registry.py
+++ b/hillfield/announcements/registry.py
@@ -1,4 +1,4 @@
-"""The targets that announce themselves to one node."""
+"""The targets that are announced to one node."""
 
 from expression import Error, Ok, Result
 
@@ -25,15 +25,15 @@
 
 
 class TargetRegistry:
-    """Keep the host's targets; `now` is monotonic seconds."""
+    """Registry of the host's targets; `now` is in monotonic seconds."""
 
     def __init__(self, settings: NodeSettings, journal: Journal) -> None:
-        """Start without targets."""
+        """Create an empty registry."""
         self.version = 0
         self._settings = settings
         self._journal = journal
-        self._lives: dict[Endpoint, Life] = {}
-        self._graves = EndedIncarnations(settings.announcements)
+        self._incarnations: dict[Endpoint, Life] = {}
+        self._ended = EndedIncarnations(settings.announcements)
         self._targets: tuple[Target, ...] = ()
 
     def announce(
@@ -42,23 +42,23 @@
         wall: int,
         announcement: Announcement,
     ) -> Result[Target, AnnouncementProblem]:
-        """Take an announcement or heartbeat and return what is told of it.
+        """Apply an announcement or heartbeat and return the published target.
 
-        `wall` is the wall clock in milliseconds: it becomes the incarnation
-        of a target that gives none.
+        `wall` is the wall clock in milliseconds, which becomes the incarnation
+        of a target that names none.
         """
         settings = self._settings.announcements
-        place = Endpoint(announcement.service, announcement.address)
-        life = self._lives.get(place)
-        if life is not None and not life.is_continued_by(
+        endpoint = Endpoint(announcement.service, announcement.address)
+        current = self._incarnations.get(endpoint)
+        if current is not None and not current.is_continued_by(
             now, announcement, settings
         ):
-            life = None
-        if life is not None:
-            return self._continue(now, life, announcement)
-        problem = self._graves.find_problem(now, place, announcement)
-        if problem is None and place not in self._lives:
-            problem = find_capacity_problem(len(self._lives), settings)
+            current = None
+        if current is not None:
+            return self._continue(now, current, announcement)
+        problem = self._ended.find_problem(now, endpoint, announcement)
+        if problem is None and endpoint not in self._incarnations:
+            problem = find_capacity_problem(len(self._incarnations), settings)
         if problem is not None:
             return Error(problem)
         return Ok(self._begin(now, wall, announcement))
@@ -70,65 +70,70 @@
         address: Address,
         incarnation: int | None = None,
     ) -> Result[Target, AnnouncementProblem]:
-        """Forget a target at once; a late heartbeat won't bring it back.
+        """Remove a target at once; a late heartbeat does not list it again.
 
-        With `incarnation`, a later life at the same place stays listed.
+        With `incarnation`, only that one is removed, not a later one at the
+        same endpoint.
         """
-        place = Endpoint(service, address)
-        life = self._lives.get(place)
-        if life is None:
+        endpoint = Endpoint(service, address)
+        current = self._incarnations.get(endpoint)
+        if current is None:
             return Error(make_unknown_problem(service, address))
-        known = life.reported.id.incarnation
+        known = current.reported.id.incarnation
         if incarnation not in {None, known}:
             return Error(make_stale_problem(incarnation, known))
-        self._lives.pop(place)
-        self._graves.mark_ended(now, life)
-        self._note(EventCode.TARGET_WITHDRAWN, life.shown)
+        self._incarnations.pop(endpoint)
+        self._ended.mark_ended(now, current)
+        self._record(EventCode.TARGET_WITHDRAWN, current.shown)
         self._publish()
-        return Ok(life.shown)
+        return Ok(current.shown)
 
     def targets(self, now: float) -> tuple[Target, ...]:
-        """Return what to tell other nodes; forgets silent targets first.
+        """Remove silent targets and return those to publish to other nodes.
 
-        The tuple is the same object until `version` grows.
+        The tuple is the same object until `version` increases.
         """
         self._expire(now)
         return self._targets
 
     def excuse(self, now: float, seconds: float) -> None:
-        """Hold no silence of the last seconds against targets.
+        """Do not count a pause of this process as silence of the targets.
 
-        This node read nothing in them: what targets said lay unread.
+        Heartbeats that came during the pause have not been read yet.
         """
-        self._lives = {
-            place: life.discount_pause(now, seconds)
-            for place, life in self._lives.items()
+        self._incarnations = {
+            endpoint: current.discount_pause(now, seconds)
+            for endpoint, current in self._incarnations.items()
         }
 
     def lives(self, now: float) -> tuple[Life, ...]:
-        """Return all that is known, for operators, ordered by place."""
+        """Return all incarnations, for operators, ordered by endpoint."""
         self._expire(now)
-        return tuple(life for _, life in sorted(self._lives.items()))
+        return tuple(
+            current for _, current in sorted(self._incarnations.items())
+        )
 
     def _continue(
         self,
         now: float,
-        life: Life,
+        current: Life,
         announcement: Announcement,
     ) -> Result[Target, AnnouncementProblem]:
-        known = life.reported.id.incarnation
+        known = current.reported.id.incarnation
         if announcement.incarnation not in {None, known}:
             return Error(make_stale_problem(announcement.incarnation, known))
         settings = self._settings
         reported = make_target(announcement, settings.locality, known)
-        newer = update_incarnation(now, life, reported, settings.announcements)
-        self._lives[Endpoint(announcement.service, announcement.address)] = (
-            newer
+        updated = update_incarnation(
+            now, current, reported, settings.announcements
         )
-        if newer.shown is not life.shown:
-            self._note(EventCode.TARGET_CHANGED, newer.shown)
+        self._incarnations[
+            Endpoint(announcement.service, announcement.address)
+        ] = updated
+        if updated.shown is not current.shown:
+            self._record(EventCode.TARGET_CHANGED, updated.shown)
             self._publish()
-        return Ok(newer.shown)
+        return Ok(updated.shown)
 
     def _begin(
         self,
@@ -136,44 +141,44 @@
         wall: int,
         announcement: Announcement,
     ) -> Target:
-        place = Endpoint(announcement.service, announcement.address)
-        former = self._lives.get(place)
+        endpoint = Endpoint(announcement.service, announcement.address)
+        former = self._incarnations.get(endpoint)
         if former is not None:
-            self._graves.mark_ended(now, former)
+            self._ended.mark_ended(now, former)
             wall = max(wall, former.reported.id.incarnation + 1)
-        given = announcement.incarnation
+        chosen = announcement.incarnation
         reported = make_target(
             announcement,
             self._settings.locality,
-            wall if given is None else given,
+            wall if chosen is None else chosen,
         )
-        life = start_incarnation(now, reported, given=given is not None)
-        self._lives[place] = life
-        self._note(EventCode.TARGET_ANNOUNCED, life.shown)
+        current = start_incarnation(now, reported, chosen=chosen is not None)
+        self._incarnations[endpoint] = current
+        self._record(EventCode.TARGET_ANNOUNCED, current.shown)
         self._publish()
-        return life.shown
+        return current.shown
 
     def _expire(self, now: float) -> None:
         settings = self._settings.announcements
-        over = [
-            place
-            for place, life in self._lives.items()
-            if life.is_expired(now, settings)
+        expired = [
+            endpoint
+            for endpoint, current in self._incarnations.items()
+            if current.is_expired(now, settings)
         ]
-        for place in over:
-            life = self._lives.pop(place)
-            if life.drain_started is not None:
-                self._graves.mark_ended(now, life)
-            self._note(EventCode.TARGET_EXPIRED, life.shown)
-        if over:
+        for endpoint in expired:
+            current = self._incarnations.pop(endpoint)
+            if current.drain_started is not None:
+                self._ended.mark_ended(now, current)
+            self._record(EventCode.TARGET_EXPIRED, current.shown)
+        if expired:
             self._publish()
 
     def _publish(self) -> None:
         self.version += 1
-        ordered = sorted(self._lives.items())
-        self._targets = tuple(life.shown for _, life in ordered)
+        ordered = sorted(self._incarnations.items())
+        self._targets = tuple(current.shown for _, current in ordered)
 
-    def _note(self, code: EventCode, target: Target) -> None:
+    def _record(self, code: EventCode, target: Target) -> None:
         self._journal.record(
             Occurrence(
                 code,
--- a/hillfield/announcements/tests/test_messages.py
+++ b/hillfield/announcements/tests/test_messages.py
@@ -1,4 +1,4 @@
-"""Malformed announcements are refused by field, value and fix."""
+"""Malformed announcements are refused with field, value and fix."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -22,7 +22,7 @@
 )
 
 
-def test_reads_a_good_one():
+def test_parses_a_valid_announcement():
     announcement = read_announcement(encode({**GOOD})).ok
     assert announcement.connection_limit == 300
     assert announcement.load is None
@@ -58,13 +58,13 @@
         ('colour', 'red'),
     ],
 )
-def test_names_the_field_at_fault(field, found):
+def test_names_the_invalid_field(field, found):
     problems = read_announcement(encode({**GOOD, field: found})).error
     assert [problem.field for problem in problems] == [field]
     assert all(problem.found and problem.fix for problem in problems)
 
 
-def test_names_a_few_of_thousands_of_wrong_fields():
+def test_bounds_the_number_of_reported_fields():
     wrong = {f'field{number}': 1 for number in range(2000)}
     assert len(read_announcement(encode(wrong)).error) == 16
 
@@ -88,5 +88,5 @@
         b'{"slots": NaN}',
     ],
 )
-def test_names_a_bad_body(body):
+def test_reports_an_invalid_body(body):
     assert read_announcement(body).error[0].field == 'body'
--- a/hillfield/announcements/tests/test_registry.py
+++ b/hillfield/announcements/tests/test_registry.py
@@ -1,4 +1,4 @@
-"""The registry lists live targets, drains them and forgets silent ones."""
+"""The registry lists live targets, drains them and removes silent ones."""
 
 from typing import Any
 
@@ -38,7 +38,7 @@
     assert registry.targets(0) == (target,)
 
 
-def test_makes_an_incarnation_from_the_wall_clock():
+def test_derives_an_incarnation_from_the_wall_clock():
     registry = make_registry()
     plain = replace(READY, incarnation=None)
     assert registry.announce(0, WALL, plain).ok.id.incarnation == WALL
@@ -49,7 +49,7 @@
     )
 
 
-def test_forgets_a_silent_target():
+def test_removes_a_silent_target():
     registry = make_registry()
     registry.announce(0, WALL, READY)
     assert registry.targets(3)
@@ -69,7 +69,7 @@
     assert registry.lives(19)[0].reported.load == 19
 
 
-def test_drained_life_never_returns():
+def test_drained_incarnation_never_becomes_ready():
     registry = make_registry()
     registry.announce(0, WALL, READY)
     registry.announce(1, WALL, DRAINING)
@@ -79,7 +79,7 @@
     assert registry.announce(63, WALL, READY).error.refusal is Refusal.STALE
 
 
-def test_restart_replaces_a_draining_life():
+def test_restart_replaces_a_draining_incarnation():
     registry = make_registry()
     registry.announce(0, WALL, DRAINING)
     registry.announce(1, WALL, replace(READY, incarnation=8))
@@ -109,7 +109,7 @@
     )
 
 
-def test_drained_life_stays_away_after_its_successor_has_gone():
+def test_drained_incarnation_is_refused_after_its_successor_ended():
     registry = make_registry()
     registry.announce(0, WALL, DRAINING)
     registry.announce(1, WALL, replace(READY, incarnation=8))
@@ -117,7 +117,7 @@
     assert registry.announce(9, WALL, READY).error.refusal is Refusal.STALE
 
 
-def test_late_withdrawal_of_a_former_life_is_refused():
+def test_late_withdrawal_of_an_earlier_incarnation_is_refused():
     registry = make_registry()
     registry.announce(0, WALL, READY)
     problem = registry.withdraw(1, 'settlement', HERE, 6).error
@@ -126,7 +126,7 @@
     assert registry.withdraw(1, 'settlement', HERE, 7).is_ok()
 
 
-def test_shedding_shows_at_once_and_clears_later():
+def test_shedding_is_published_at_once_and_its_end_later():
     registry = make_registry()
     registry.announce(0, WALL, READY)
     for now in range(1, 5):
@@ -144,7 +144,7 @@
     assert read_states(registry, 0.1) == [TargetState.READY]
 
 
-def test_bounds_the_count():
+def test_bounds_the_number_of_targets():
     registry = make_registry(maximum=1)
     registry.announce(0, WALL, READY)
     other = replace(READY, address=Address('127.0.0.1', 9))
--- a/hillfield/announcements/tests/test_promises.py
+++ b/hillfield/announcements/tests/test_registry_invariants.py
@@ -1,4 +1,4 @@
-"""Whatever is announced in whatever order, the registry's promises hold."""
+"""Invariants of the registry under arbitrary sequences of announcements."""
 
 from hypothesis import settings
 from hypothesis import strategies as st
@@ -26,21 +26,21 @@
 EXPIRY = SETTINGS.announcements.expiry
 CHANGE_INTERVAL = SETTINGS.announcements.change_interval
 PORTS = st.integers(1, 4)
-PLACES = st.builds(Address, st.just('127.0.0.1'), PORTS)
+ENDPOINTS = st.builds(Address, st.just('127.0.0.1'), PORTS)
 STATES = st.sampled_from(list(TargetState))
 INCARNATIONS = st.none() | st.integers(1, 4)
 
 
 class RegistryMachine(RuleBasedStateMachine):
-    """Drive a registry and keep what the promises need: an oracle."""
+    """Drive a registry and record what the invariants need."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now: float = 0
         self.journal = ListJournal()
         self.registry = TargetRegistry(SETTINGS, self.journal)
-        self.heard: dict[TargetId, float] = {}
-        self.left: set[TargetId] = set()
+        self.last_heard: dict[TargetId, float] = {}
+        self.drained: set[TargetId] = set()
         self.ended: set[TargetId] = set()
         self.last = (self.registry.targets(0), self.registry.version)
 
@@ -49,11 +49,14 @@
         self.now += seconds
 
     @rule(
-        place=PLACES, state=STATES, number=INCARNATIONS, slots=st.integers(1, 2)
+        endpoint=ENDPOINTS,
+        state=STATES,
+        number=INCARNATIONS,
+        slots=st.integers(1, 2),
     )
-    def announce(self, place, state, number, slots):
+    def announce(self, endpoint, state, number, slots):
         announcement = Announcement(
-            's', place, slots, state=state, incarnation=number
+            's', endpoint, slots, state=state, incarnation=number
         )
         listed = self.registry.announce(
             self.now, 10 + int(self.now * 1000), announcement
@@ -62,28 +65,28 @@
             return
         target = listed.ok
         assert number in {None, target.id.incarnation}
-        self.heard[target.id] = self.now
+        self.last_heard[target.id] = self.now
         if state is TargetState.DRAINING:
-            self.left.add(target.id)
+            self.drained.add(target.id)
         if state in {TargetState.DRAINING, TargetState.SHEDDING}:
             assert target.state in {state, TargetState.DRAINING}
         if number is not None:
             assert target.id not in self.ended
 
-    @rule(place=PLACES)
-    def withdraw(self, place):
-        withdrawn = self.registry.withdraw(self.now, 's', place)
+    @rule(endpoint=ENDPOINTS)
+    def withdraw(self, endpoint):
+        withdrawn = self.registry.withdraw(self.now, 's', endpoint)
         listed = [each.id.address for each in self.registry.targets(self.now)]
-        assert place not in listed
+        assert endpoint not in listed
         if withdrawn.is_ok():
             self.ended.add(withdrawn.ok.id)
 
-    @precondition(lambda machine: machine.heard)
+    @precondition(lambda machine: machine.last_heard)
     @rule(number=st.integers(0, 9))
     def restart(self, number):
-        """A higher incarnation is always taken, whatever went before."""
-        known = sorted(self.heard)[number % len(self.heard)]
-        later = max(each.incarnation for each in self.heard) + 1
+        """A higher incarnation of a listed endpoint is always accepted."""
+        known = sorted(self.last_heard)[number % len(self.last_heard)]
+        later = max(each.incarnation for each in self.last_heard) + 1
         listed = [each.id.address for each in self.registry.targets(self.now)]
         announcement = Announcement('s', known.address, 1, incarnation=later)
         taken = self.registry.announce(self.now, 1, announcement)
@@ -91,30 +94,30 @@
             assert taken.is_ok()
         if taken.is_ok():
             assert taken.ok.state is TargetState.READY
-            self.heard[taken.ok.id] = self.now
+            self.last_heard[taken.ok.id] = self.now
 
     @invariant()
-    def lists_at_most_one_life_a_place(self):
+    def lists_at_most_one_incarnation_per_endpoint(self):
         targets = self.registry.targets(self.now)
-        places = [each.id.address for each in targets]
-        assert len(places) == len(set(places))
-        assert len(places) <= 3
-        assert places == sorted(places)
+        endpoints = [each.id.address for each in targets]
+        assert len(endpoints) == len(set(endpoints))
+        assert len(endpoints) <= 3
+        assert endpoints == sorted(endpoints)
 
     @invariant()
-    def lists_what_was_heard_and_drops_what_was_not(self):
+    def lists_silent_targets_only_while_they_drain(self):
         for target in self.registry.targets(self.now):
-            silent = self.now - self.heard[target.id] > EXPIRY
+            silent = self.now - self.last_heard[target.id] > EXPIRY
             assert not silent or target.state is TargetState.DRAINING
 
     @invariant()
-    def never_gives_work_to_a_life_that_left(self):
+    def never_lists_a_drained_incarnation_as_ready(self):
         for target in self.registry.targets(self.now):
-            if target.id in self.left:
+            if target.id in self.drained:
                 assert target.state is TargetState.DRAINING
 
     @invariant()
-    def version_tells_of_each_change(self):
+    def increases_the_version_with_each_change(self):
         targets = self.registry.targets(self.now)
         before, version = self.last
         if targets != before:
@@ -131,7 +134,7 @@
 )
 
 
-def test_flapping_target_costs_few_changes():
+def test_flapping_target_causes_few_changes():
     registry = TargetRegistry(SETTINGS, ListJournal())
     shape = Announcement('s', LOOPBACK, 1, incarnation=1)
     for step in range(1000):
--- a/hillfield/fleet/peering/link_table.py
+++ b/hillfield/fleet/peering/link_table.py
@@ -40,7 +40,7 @@
     read_failed: bool = False
 
     def discount_pause(self, now: float, seconds: float) -> None:
-        """Count this node's own pause not as silence of the peer."""
+        """Do not count a pause of this process as silence of the peer."""
         self.last_received = min(now, self.last_received + seconds)
         self.opened = min(now, self.opened + seconds)
 
--- a/hillfield/hostroutes/__init__.py
+++ b/hillfield/hostroutes/__init__.py
@@ -1,4 +1,4 @@
-"""Routes by host and path prefix, and how they come in force."""
+"""Routing of requests by host and path prefix."""
 
 from hillfield.hostroutes.allowances import make_policy
 from hillfield.hostroutes.planner import HostPlanner, PlannerSettings
--- a/hillfield/hostroutes/allowances.py
+++ b/hillfield/hostroutes/allowances.py
@@ -1,36 +1,36 @@
-"""What the fleet's bounds leave to one node."""
+"""The service policy of one node, derived from the bounds of the fleet."""
 
 from typing import Final
 
 from hillfield.model import ServicePolicy
 
-# Of the fleet's bound of repeats, so that calls made by repeated runs, which
-# count as repeats too, have room.
+# Share of the fleet's retry ratio that nodes may use. The rest is left for the
+# calls that a repeated request makes in turn, which count as repeats too.
 RETRY_BUDGET_SHARE: Final = 0.8
-# Repeats that one node may have saved up, and those that each second adds:
-# retries and second attempts beside a first one share them. In the 10 s in
-# which the fleet's are counted, 30 nodes whose requests all hang send three
-# each, and none once the gates hold work back; the fleet may send 60 and a
-# fifth of its requests (site files: 56 over 21 hosts, 64 over 31, 204 over 99).
-# Modelled, the most that a service gets in 10 s while targets hang is 81.
+# Token bucket of one node's repeats, shared by retries and hedges: its size and
+# the tokens added per second. The fleet's repeats are limited per 10 s to 60
+# and a fifth of its requests (for the expected load: 56 with 21 hosts, 64 with
+# 31, 204 with 99). If all requests of 30 nodes hang, each node sends three
+# repeats in 10 s, and none once the gates withhold work. In a model, a service
+# gets at most 81 repeats in 10 s while targets hang.
 RETRY_BURST: Final = 2.0
 RETRY_RATE: Final = 0.1
-# Seconds of answered requests whose repeats one node may save up beyond that:
-# none, since all nodes may spend what they saved at the same moment.
+# Seconds of answered requests for which repeats are saved on top: none, since
+# all nodes may use what they saved at the same time.
 RETRY_SAVING_SECONDS: Final[float] = 0
-# Requests that may wait at one node: 2 s of work of a site's busiest node.
+# Requests that may wait at one node: 2 s of work of the busiest node.
 QUEUE_LIMIT: Final = 64
 
-# Seconds that requests wait at a node which has just started and has not
-# heard of any target yet: links and a heartbeat take about so long.
+# Seconds that requests wait at a started node that knows no target yet: links
+# and a heartbeat take about this long.
 FIRST_REPORT_WAIT: Final = 1.0
 
 
 def make_policy(retry_ratio: float, floor: float) -> ServicePolicy:
-    """Return how a node treats all services.
+    """Return the policy of a node for all services.
 
-    `retry_ratio` is how many repeats the whole fleet may make per request,
-    `floor` the least share of a service's sound targets to be used.
+    `retry_ratio` is how many repeats the whole fleet may send per request,
+    `floor` the least share of a service's healthy targets to be kept in use.
     """
     return ServicePolicy(
         '',
--- a/hillfield/hostroutes/planner.py
+++ b/hillfield/hostroutes/planner.py
@@ -1,4 +1,4 @@
-"""The routes in force at a node: adopted by revision, asked by request."""
+"""Planning of requests by the routes in force at a node."""
 
 from collections.abc import Callable
 from random import Random
@@ -29,7 +29,7 @@
 )
 from hillfield.proxy.ports import RequestHead
 
-# Ranks that routes may have below one rank of an account.
+# Number of priorities of routes within one priority of an account.
 ROUTE_RANKS: Final = 1000
 ANONYMOUS_ACCOUNT: Final = FleetAccount('', ())
 
@@ -38,7 +38,7 @@
 
 
 class PlannerSettings(Struct, frozen=True):
-    """Say how requests are treated beyond what their route tells.
+    """Settings of requests that do not depend on their route.
 
     `key` is the store's key of the routes, `origin` the service on whose
     host this node is, `policy` how all services are treated, `checks` and
@@ -54,9 +54,9 @@
 
 
 class RouteAdoption(Struct, frozen=True):
-    """Say which version brought a route, and when this node adopted it.
+    """Hold the version that added a route, and when this node adopted it.
 
-    `since` is in monotonic seconds; None: with the node's first table.
+    `since` is in monotonic seconds; None for the node's first table.
     """
 
     version: int
@@ -64,32 +64,32 @@
 
 
 class Quotas(Protocol):
-    """Bound what accounts send over all nodes together."""
+    """Limits of the requests of accounts over all nodes together."""
 
     def adopt(self, accounts: tuple[FleetAccount, ...]) -> None:
-        """Take new limits into force."""
+        """Apply new limits."""
 
     def ask(self, account: FleetAccount) -> float:
         """Return 0 and count the request, or the seconds to wait."""
 
 
 class NoQuotas:
-    """Let everything through."""
+    """Quotas without limits."""
 
     def adopt(self, accounts: tuple[FleetAccount, ...]) -> None:
-        """Take no limits."""
+        """Ignore limits."""
 
     def ask(self, account: FleetAccount) -> float:
-        """Let a request through."""
+        """Accept a request."""
         return 0
 
 
 class HostPlanner:
     """Plan requests by the newest valid routes.
 
-    Implements what the fleet needs to replicate the entry and what the
-    request path needs to resolve requests. An entry that can't be read
-    leaves the routes in force as they are.
+    Stores the entry of the routes for the fleet, which replicates it, and
+    resolves requests for the request path. An entry that cannot be parsed
+    leaves the routes in force unchanged.
     """
 
     def __init__(
@@ -99,23 +99,23 @@
         random: Random,
         journal: Journal,
     ) -> None:
-        """Start without routes; `listener` is told of each new table.
+        """Start without routes; `listener` is called with each new table.
 
-        `quotas` is asked before a request of an account is planned.
+        `quotas` must accept a request of an account before it is planned.
         """
         self.generation = 0
         self.quotas: Quotas = NoQuotas()
-        self.listener: TableListener = _tell_nobody
+        self.listener: TableListener = _ignore_table
         self._settings = settings
         self._reader = reader
         self._random = random
         self._journal = journal
         self._entry: Entry | None = None
         self._index: RouteIndex | None = None
-        self._births: dict[str, RouteAdoption] = {}
+        self._adoptions: dict[str, RouteAdoption] = {}
 
     def adopt(self, entry: Entry) -> None:
-        """Take an entry unless a newer one of its key is held."""
+        """Apply an entry unless a newer one of its key is held."""
         if not self.wants(entry.key, entry.revision):
             return
         read = self._reader(entry.payload)
@@ -124,7 +124,7 @@
             self._record(EventCode.CONFIGURATION_REFUSED, detail)
             return
         self._entry = entry
-        self._note_births(read.ok)
+        self._record_adoptions(read.ok)
         self._index = RouteIndex(read.ok)
         self.generation += 1
         version = read.ok.version
@@ -134,7 +134,7 @@
         self.listener(read.ok)
 
     def wants(self, key: str, revision: int) -> bool:
-        """Return whether such an entry would be news."""
+        """Return whether an entry of this revision would be adopted."""
         if key != self._settings.key:
             return False
         return self._entry is None or revision > self._entry.revision
@@ -146,10 +146,10 @@
         return None
 
     def mark_complete(self) -> None:
-        """Need no mark: one entry holds all routes."""
+        """Do nothing, since one entry holds all routes."""
 
     def digest(self) -> Digest:
-        """Sum up what is held."""
+        """Return the digest of the entry in force."""
         entry = self._entry
         if entry is None:
             return Digest(0, (), 0, 0)
@@ -160,7 +160,7 @@
         self,
         head: RequestHead,
     ) -> Result[RequestPlan, RequestFailure]:
-        """Return the plan, or the failure to answer with (not run)."""
+        """Return the plan, or the failure to answer with (outcome not run)."""
         index = self._index
         if index is None:
             return Error(refuse_missing(Step.ROUTE))
@@ -176,7 +176,7 @@
         return Ok(self._plan(route, account))
 
     def policy(self, service: str) -> ServicePolicy | None:
-        """Return how a service's traffic is treated, if a route leads there."""
+        """Return the policy of a service, if a route leads there."""
         if service in self.services():
             return replace(self._settings.policy, service=service)
         return None
@@ -185,19 +185,19 @@
         """Return the services that some route leads to, sorted."""
         return () if self._index is None else self._index.table.services()
 
-    def _note_births(self, table: RouteTable) -> None:
-        """Note which routes a table brings that this node did not hold."""
+    def _record_adoptions(self, table: RouteTable) -> None:
+        """Record which routes of a table are new at this node."""
         since = None if self._index is None else monotonic()
-        birth = RouteAdoption(table.version, since)
-        self._births = {
-            route.name: self._births.get(route.name, birth)
+        adoption = RouteAdoption(table.version, since)
+        self._adoptions = {
+            route.name: self._adoptions.get(route.name, adoption)
             for route in table.routes
         }
 
     def _plan(self, route: HostRoute, account: FleetAccount) -> RequestPlan:
         settings = self._settings
         checks = settings.safe_checks if route.idempotent else settings.checks
-        birth = self._births[route.name]
+        adoption = self._adoptions[route.name]
         return RequestPlan(
             route.draw_service(self._random),
             route.name,
@@ -209,8 +209,8 @@
             priority=account.priority * ROUTE_RANKS + route.priority,
             origin=settings.origin,
             aim=route.aim,
-            route_version=birth.version,
-            route_since=birth.since,
+            route_version=adoption.version,
+            route_since=adoption.since,
         )
 
     def _record(self, code: EventCode, detail: str) -> None:
@@ -222,10 +222,10 @@
     route: HostRoute,
     head: RequestHead,
 ) -> FleetAccount | RequestFailure:
-    """Return whose request it is; one without a name where none is needed."""
+    """Return the account of a request; an anonymous one if none is needed."""
     if index.table.accounts is None:
         return ANONYMOUS_ACCOUNT
-    # A key names its account by itself: one that came with a name is none.
+    # The key alone identifies an account: credentials with a name are no key.
     key = '' if head.account else head.secret
     account = index.find_account(key)
     if account is not None:
@@ -240,5 +240,5 @@
     return refuse_caller(EventCode.CREDENTIALS_MISSING, 'send a key')
 
 
-def _tell_nobody(table: RouteTable) -> None:
-    """Tell nobody: no one has asked yet."""
+def _ignore_table(table: RouteTable) -> None:
+    """Do nothing: the default listener."""
--- a/hillfield/hostroutes/routes.py
+++ b/hillfield/hostroutes/routes.py
@@ -1,4 +1,4 @@
-"""Routes by host and the longest prefix of the path."""
+"""Routes, looked up by host and longest path prefix."""
 
 from random import Random
 from typing import Final
@@ -22,13 +22,13 @@
 
 
 class HostRoute(Struct, frozen=True):
-    """Say how the requests of one host under one prefix are treated.
+    """Hold how requests to one host under one path prefix are treated.
 
-    `prefix` begins and ends with a slash. `timeout` is the longest time that
-    a request may take, `aim` the time in which an answer is worth most, both
-    in seconds; `attempts` how many targets may be asked, `priority` the rank
-    among requests that wait (0 goes first). Callers of a `public` route need
-    not say who they are.
+    `prefix` begins and ends with a slash. `timeout` is the most time that a
+    request may take, `aim` the time within which its answer has the most
+    value, both in seconds. `attempts` is how many targets may be tried,
+    `priority` the rank among waiting requests (0 goes first). Callers of a
+    `public` route need no key.
     """
 
     name: str
@@ -43,7 +43,7 @@
     public: bool = False
 
     def draw_service(self, random: Random) -> str:
-        """Draw the service of one request by the weights of the parts."""
+        """Choose a service at random by the weights of the parts."""
         if len(self.parts) == 1:
             return self.parts[0].service
         weights = [part.weight for part in self.parts]
@@ -51,7 +51,7 @@
 
 
 class RouteLimits(Struct, frozen=True):
-    """Bound what callers send; sizes in bytes, times in seconds."""
+    """Limits of requests; sizes in bytes, times in seconds."""
 
     head_bytes: int
     body_bytes: int
@@ -60,9 +60,9 @@
 
 
 class RouteTable(Struct, frozen=True):
-    """Hold one version of all routes, and of who may use them.
+    """Hold one version of all routes and of the accounts that may use them.
 
-    Without `accounts` callers need not say who they are.
+    Without `accounts` callers need no key.
     """
 
     version: int
@@ -77,7 +77,7 @@
 
 
 class RouteIndex:
-    """Find the route of a request, and the account of a key.
+    """Look up the route of a request and the account of a key.
 
     >>> route = HostRoute('r', 'till.example', '/a/', (), True, 1)
     >>> index = RouteIndex(RouteTable(1, (route,)))
@@ -101,9 +101,10 @@
         }
 
     def find_account(self, key: str) -> FleetAccount | None:
-        """Return the account that holds a key.
+        """Return the account of a key.
 
-        Hashes are looked up, so the time taken tells nothing of the key.
+        Hashes are compared, so that the time of the lookup does not depend on
+        how much of the key is right.
         """
         return self._accounts.get(hash_secret(key)) if key else None
 
--- a/hillfield/hostroutes/tests/test_planner.py
+++ b/hillfield/hostroutes/tests/test_planner.py
@@ -1,4 +1,4 @@
-"""Routes by host and prefix, and how they come in force."""
+"""Planning of requests by host and path prefix, and adoption of new routes."""
 
 from collections import Counter
 from random import Random
@@ -54,9 +54,9 @@
 
 @fixture
 def planner():
-    made = HostPlanner(SETTINGS, read_table, Random(1), ListJournal())
-    made.adopt(Entry('routes', 5, b'2'))
-    return made
+    planner = HostPlanner(SETTINGS, read_table, Random(1), ListJournal())
+    planner.adopt(Entry('routes', 5, b'2'))
+    return planner
 
 
 def resolve(planner, path, host=TILL):
@@ -69,7 +69,7 @@
     assert resolve(planner, '/x/y').ok.route == 'wide'
 
 
-def test_a_route_says_how_its_requests_are_treated(planner):
+def test_a_plan_takes_its_limits_from_the_route(planner):
     plan = resolve(planner, '/x/y/').ok
     assert (plan.service, plan.idempotent, plan.deadline) == ('b', False, 2)
     assert (plan.maximum_attempts, plan.priority) == (2, 1)
@@ -80,28 +80,28 @@
     assert resolve(planner, '/', 'other.example').error.status == 404
 
 
-def test_before_the_first_routes_callers_are_told_to_come_back():
+def test_before_the_first_routes_requests_are_answered_with_retry_after():
     planner = HostPlanner(SETTINGS, read_table, Random(1), ListJournal())
     failure = resolve(planner, '/x/').error
     assert failure.status == 503
     assert failure.retry_after
 
 
-def test_parts_get_their_weights(planner):
+def test_services_are_chosen_by_weight(planner):
     drawn = Counter(
         resolve(planner, '/split/a').ok.service for _ in range(2000)
     )
     assert 1740 < drawn['a'] < 1860
 
 
-def test_an_older_revision_never_comes_back(planner):
+def test_an_older_revision_is_not_adopted(planner):
     planner.adopt(Entry('routes', 4, b'1'))
     assert resolve(planner, '/x/y/').ok.route == 'deep'
     planner.adopt(Entry('routes', 6, b'1'))
     assert resolve(planner, '/x/y/').ok.route == 'wide'
 
 
-def test_what_cannot_be_read_leaves_the_routes_in_force():
+def test_an_invalid_entry_leaves_the_routes_in_force():
     journal = ListJournal()
     planner = HostPlanner(SETTINGS, read_table, Random(1), journal)
     planner.adopt(Entry('routes', 5, b'2'))
@@ -138,8 +138,8 @@
 )
 
 
-class Refusing:
-    """Refuse all that accounts send."""
+class RefusingQuotas:
+    """Refuse all requests of accounts."""
 
     def adopt(self, accounts):
         self.accounts = accounts
@@ -149,57 +149,59 @@
 
 
 @fixture
-def keyed():
+def keyed_planner():
     tables = {b'3': KEYED, b'4': REVOKED}
     journal = ListJournal()
-    made = HostPlanner(
+    planner = HostPlanner(
         SETTINGS,
         lambda payload: Ok(tables[payload]),
         Random(1),
         journal,
     )
-    made.adopt(Entry('routes', 7, b'3'))
-    return made
+    planner.adopt(Entry('routes', 7, b'3'))
+    return planner
 
 
-def show_key(planner, key, path='/x/'):
+def resolve_with_key(planner, key, path='/x/'):
     return planner.resolve(RequestHead('GET', path, '', key, host=TILL))
 
 
-def test_a_key_tells_whose_request_it_is(keyed):
-    assert show_key(keyed, 'k-2').ok.account == 'baker'
-    assert show_key(keyed, 'k-3').ok.account == 'grocer'
+def test_a_key_identifies_its_account(keyed_planner):
+    assert resolve_with_key(keyed_planner, 'k-2').ok.account == 'baker'
+    assert resolve_with_key(keyed_planner, 'k-3').ok.account == 'grocer'
 
 
-def test_unknown_and_missing_keys_are_refused_and_never_shown(keyed):
+def test_unknown_and_missing_keys_are_refused_and_not_echoed(keyed_planner):
     for key in ('k-4', ''):
-        failure = show_key(keyed, key).error
+        failure = resolve_with_key(keyed_planner, key).error
         assert failure.status == 401
         assert 'k-4' not in failure.detail
 
 
-def test_a_public_route_needs_no_key_and_tells_who_holds_one(keyed):
-    assert show_key(keyed, '', '/open/').ok.account == ''
-    assert show_key(keyed, 'k-4', '/open/').ok.account == ''
-    assert show_key(keyed, 'k-1', '/open/').ok.account == 'baker'
+def test_a_public_route_needs_no_key_but_identifies_its_account(keyed_planner):
+    assert resolve_with_key(keyed_planner, '', '/open/').ok.account == ''
+    assert resolve_with_key(keyed_planner, 'k-4', '/open/').ok.account == ''
+    assert (
+        resolve_with_key(keyed_planner, 'k-1', '/open/').ok.account == 'baker'
+    )
 
 
-def test_a_revoked_key_is_refused_and_the_other_still_holds(keyed):
-    keyed.adopt(Entry('routes', 8, b'4'))
-    assert show_key(keyed, 'k-2').error.status == 401
-    assert show_key(keyed, 'k-1').ok.account == 'baker'
+def test_a_revoked_key_is_refused_and_the_other_still_accepted(keyed_planner):
+    keyed_planner.adopt(Entry('routes', 8, b'4'))
+    assert resolve_with_key(keyed_planner, 'k-2').error.status == 401
+    assert resolve_with_key(keyed_planner, 'k-1').ok.account == 'baker'
 
 
-def test_an_account_s_rank_goes_before_its_route_s(keyed):
-    first = show_key(keyed, 'k-3', '/x/y/').ok.priority
-    second = show_key(keyed, 'k-1', '/x/').ok.priority
-    third = show_key(keyed, 'k-1', '/x/y/').ok.priority
+def test_the_account_s_priority_precedes_the_route_s(keyed_planner):
+    first = resolve_with_key(keyed_planner, 'k-3', '/x/y/').ok.priority
+    second = resolve_with_key(keyed_planner, 'k-1', '/x/').ok.priority
+    third = resolve_with_key(keyed_planner, 'k-1', '/x/y/').ok.priority
     assert first < second < third
 
 
-def test_an_unknown_route_is_not_found_whatever_the_key(keyed):
+def test_an_unknown_route_is_not_found_whatever_the_key(keyed_planner):
     missing = RequestHead('GET', '/', '', 'k-4', host='other.example')
-    assert keyed.resolve(missing).error.status == 404
+    assert keyed_planner.resolve(missing).error.status == 404
 
 
 def test_without_accounts_nobody_needs_a_key(planner):
@@ -207,21 +209,21 @@
     assert planner.resolve(head).ok.account == ''
 
 
-def test_what_lies_beyond_a_limit_is_told_when_to_come_back(keyed):
-    keyed.quotas = Refusing()
-    keyed.adopt(Entry('routes', 8, b'4'))
-    failure = show_key(keyed, 'k-1').error
+def test_a_request_beyond_its_quota_is_answered_with_retry_after(keyed_planner):
+    keyed_planner.quotas = RefusingQuotas()
+    keyed_planner.adopt(Entry('routes', 8, b'4'))
+    failure = resolve_with_key(keyed_planner, 'k-1').error
     assert (failure.status, failure.retry_after) == (429, 0.75)
-    assert show_key(keyed, '', '/open/').is_ok()
-    assert keyed.quotas.accounts == REVOKED.accounts
+    assert resolve_with_key(keyed_planner, '', '/open/').is_ok()
+    assert keyed_planner.quotas.accounts == REVOKED.accounts
 
 
-def test_before_the_first_routes_no_key_is_called_unknown():
+def test_before_the_first_routes_no_key_is_refused_as_unknown():
     planner = HostPlanner(SETTINGS, read_table, Random(1), ListJournal())
-    assert show_key(planner, 'k-4').error.status == 503
+    assert resolve_with_key(planner, 'k-4').error.status == 503
 
 
-def test_a_route_tells_which_version_brought_it():
+def test_a_plan_names_the_version_that_added_its_route():
     planner = HostPlanner(SETTINGS, read_table, Random(1), ListJournal())
     planner.adopt(Entry('routes', 5, b'1'))
     planner.adopt(Entry('routes', 6, b'2'))
--- a/hillfield/link/__init__.py
+++ b/hillfield/link/__init__.py
@@ -1,4 +1,4 @@
-"""Links between nodes over pynng."""
+"""Message links between nodes, over pynng."""
 
 from hillfield.link.faults import LinkFaults, PlannedFault
 from hillfield.link.layer import (
--- a/hillfield/link/faults.py
+++ b/hillfield/link/faults.py
@@ -1,4 +1,4 @@
-"""Break paths on purpose; only tests and their settings ask for it."""
+"""Fault injection on links, for tests."""
 
 from math import inf
 
@@ -8,10 +8,10 @@
 
 
 class PlannedFault(Struct, frozen=True):
-    """Break the path to a peer, or to all when `peer` is None.
+    """Fault of the path to a peer, or to all peers if `peer` is None.
 
-    `begin` and `end` are seconds after the links were opened; messages are
-    dropped, or held back for `delay` seconds when that is above 0.
+    `begin` and `end` are seconds after the links were opened. Messages are
+    delayed by `delay` seconds, or dropped if that is 0.
     """
 
     peer: Address | None = None
@@ -21,28 +21,27 @@
 
 
 class LinkFaults:
-    """Say which messages are dropped or delayed; none unless a test asks.
+    """Decide which messages are dropped or delayed; by default none.
 
-    Sending to a peer is broken while receiving from it goes on, which makes
-    a one-way path.
+    Only sending to a peer fails, not receiving from it: a one-way partition.
     """
 
     def __init__(self, planned: tuple[PlannedFault, ...] = ()) -> None:
-        """Break what is planned."""
+        """Inject the planned faults."""
         self._planned = planned
         self._cut: set[Address] = set()
 
     def cut(self, peer: Address) -> None:
-        """Drop all that is sent to a peer from now on."""
+        """Drop all messages to a peer from now on."""
         self._cut.add(peer)
 
     def heal(self) -> None:
-        """Break nothing any more, also of what is planned."""
+        """Remove all faults, also the planned ones."""
         self._cut.clear()
         self._planned = ()
 
     def find_delay(self, peer: Address, elapsed: float) -> float:
-        """Return the seconds to hold a message back; infinite: drop it.
+        """Return the seconds to delay a message; infinity to drop it.
 
         >>> faults = LinkFaults((PlannedFault(begin=5, end=9, delay=2),))
         >>> peer = Address('127.0.0.1', 80)
--- a/hillfield/link/layer.py
+++ b/hillfield/link/layer.py
@@ -1,9 +1,9 @@
 """Carry sealed messages between nodes over pynng sockets.
 
-One Pull0 socket listens; each link has a Push0 socket of its own that dials
-the peer. So each link has two one-way paths: what is sent to one peer can
-neither wait behind another nor go to it, a one-way fault shows as what it
-is, and each queue is bounded.
+One Pull0 socket listens; each link has its own Push0 socket that dials the
+peer. So a link consists of two one-way paths: messages to one peer neither
+wait behind those to another nor go to it, a one-way partition affects one
+direction only, and each queue is bounded.
 """
 
 import asyncio
@@ -28,13 +28,16 @@
 RECEIVE_QUEUE: Final = 256
 RECONNECT_FIRST_MS: Final = 200
 RECONNECT_LIMIT_MS: Final = 5000
+# Seconds for which a closed link still sends its queued messages.
 LINGER_SECONDS: Final = 0.5
+# Closed links that may linger at a time.
 CLOSING_LIMIT: Final = 64
+# Messages received in one turn of the event loop.
 RECEIVES_PER_TURN: Final = 64
 
 
 class LinkSettings(Struct, frozen=True):
-    """Say where to listen and how much may wait or come at once."""
+    """Settings: the address to listen at, queue and message size limits."""
 
     listen: Address
     queue_limit: int = 256
@@ -43,7 +46,7 @@
 
 
 class LinkError(Struct, frozen=True):
-    """Say at which step the link layer failed, and with whom."""
+    """Hold the step at which the link layer failed, and the peer."""
 
     step: str
     peer: str
@@ -51,7 +54,7 @@
 
 
 class LinkCounts(Struct, frozen=True):
-    """Count what went over the links."""
+    """Counts of messages and bytes."""
 
     sent: int = 0
     sent_bytes: int = 0
@@ -64,10 +67,10 @@
 
 
 class LinkLayer:
-    """Own the sockets; runs on the loop's thread."""
+    """Own the sockets; runs on the event loop's thread."""
 
     def __init__(self, settings: LinkSettings, receiver: Receiver) -> None:
-        """Prepare without opening anything."""
+        """Create the layer; `open` opens its socket."""
         self.counts = LinkCounts()
         self.faults = LinkFaults(settings.faults)
         self._settings = settings
@@ -91,17 +94,17 @@
             )
         self._listening = pull
         loop = asyncio.get_running_loop()
-        loop.add_reader(pull.recv_fd, self._take)
+        loop.add_reader(pull.recv_fd, self._receive)
         self._opened = loop.time()
         bound = parse_address(str(listener.local_address))
         port = bound.ok.port
         return Ok(Address(settings.listen.ip, port))
 
     def dial(self, peer: Address) -> None:
-        """Open a link; it connects, and reconnects, in the background.
+        """Open a link, which connects and reconnects in the background.
 
-        What is no address, as a faulty peer may name it, isn't dialled: what
-        is sent to it is counted as dropped.
+        Invalid addresses, as sent by faulty peers, are not dialled: messages
+        to them count as dropped.
         """
         known = peer in self._pushes
         if known or not peer.port or parse_address(str(peer)).is_error():
@@ -115,7 +118,7 @@
         self._pushes[peer] = push
 
     def send(self, peer: Address, sealed: bytes) -> None:
-        """Queue a message; one that finds the queue full is dropped."""
+        """Queue a message, or drop it if the queue is full."""
         loop = asyncio.get_running_loop()
         delay = self.faults.find_delay(peer, loop.time() - self._opened)
         if delay == inf:
@@ -126,7 +129,7 @@
             self._push(peer, sealed)
 
     def disconnect(self, peer: Address) -> None:
-        """Close a link, a little later so that its last words get out."""
+        """Close a link after a short time, in which queued messages are sent."""
         push = self._pushes.pop(peer, None)
         if push is None:
             return
@@ -162,8 +165,8 @@
             sent_bytes=self.counts.sent_bytes + len(sealed),
         )
 
-    def _take(self) -> None:
-        """Take what has come; the rest at the loop's next turn."""
+    def _receive(self) -> None:
+        """Receive a number of messages; leave the rest to the next turn."""
         pull = self._listening
         if pull is None:
             return
--- a/hillfield/link/tests/test_layer.py
+++ b/hillfield/link/tests/test_layer.py
@@ -13,36 +13,36 @@
 
 
 async def exchange():
-    came: list[bytes] = []
-    one = LinkLayer(LinkSettings(ANY_PORT), came.append)
-    two = LinkLayer(LinkSettings(ANY_PORT, queue_limit=4), came.append)
+    received: list[bytes] = []
+    one = LinkLayer(LinkSettings(ANY_PORT), received.append)
+    two = LinkLayer(LinkSettings(ANY_PORT, queue_limit=4), received.append)
     address = one.open().ok
     two.open()
     two.dial(address)
     two.send(address, b'first')
-    await until(lambda: came)
+    await until(lambda: received)
     two.faults.cut(address)
     two.send(address, b'cut')
     two.faults.heal()
     two.send(address, b'second')
-    await until(lambda: len(came) == 2)
+    await until(lambda: len(received) == 2)
     one.close()
     two.close()
-    return came, two.counts
+    return received, two.counts
 
 
-def test_carries_messages_and_cuts_a_path_on_request():
-    came, counts = asyncio.run(exchange())
-    assert came == [b'first', b'second']
+def test_messages_arrive_unless_their_path_is_cut():
+    received, counts = asyncio.run(exchange())
+    assert received == [b'first', b'second']
     assert (counts.sent, counts.dropped) == (2, 1)
 
 
 async def fill_queue():
     layer = LinkLayer(LinkSettings(ANY_PORT, queue_limit=4), print)
-    nobody = Address('127.0.0.1', 1)
-    layer.dial(nobody)
+    unreachable = Address('127.0.0.1', 1)
+    layer.dial(unreachable)
     for _ in range(10):
-        layer.send(nobody, b'message')
+        layer.send(unreachable, b'message')
     layer.close()
     return layer.counts
 
@@ -52,20 +52,20 @@
     assert (counts.sent, counts.dropped) == (4, 6)
 
 
-async def dial_nowhere():
+async def dial_invalid():
     layer = LinkLayer(LinkSettings(ANY_PORT), print)
-    for nowhere in (('no number', 80), ('', 0), ('127.0.0.1', 65536)):
-        layer.dial(Address(*nowhere))
-        layer.send(Address(*nowhere), b'message')
+    for invalid in (('no number', 80), ('', 0), ('127.0.0.1', 65536)):
+        layer.dial(Address(*invalid))
+        layer.send(Address(*invalid), b'message')
     return layer.counts
 
 
-def test_what_is_no_address_is_not_dialled():
-    counts = asyncio.run(dial_nowhere())
+def test_invalid_addresses_are_not_dialled():
+    counts = asyncio.run(dial_invalid())
     assert (counts.sent, counts.dropped) == (0, 3)
 
 
-async def open_twice():
+async def listen_twice():
     first = LinkLayer(LinkSettings(ANY_PORT), print)
     second = LinkLayer(LinkSettings(first.open().ok), print)
     refused = second.open()
@@ -73,25 +73,25 @@
     return refused
 
 
-def test_busy_port_is_an_error_with_its_step():
-    assert asyncio.run(open_twice()).error.step == 'listen'
+def test_listening_at_a_used_port_fails_with_its_step():
+    assert asyncio.run(listen_twice()).error.step == 'listen'
 
 
-async def send_late():
-    came: list[bytes] = []
-    one = LinkLayer(LinkSettings(ANY_PORT), came.append)
+async def send_delayed():
+    received: list[bytes] = []
+    one = LinkLayer(LinkSettings(ANY_PORT), received.append)
     address = one.open().ok
     plan = (PlannedFault(delay=0.1),)
-    two = LinkLayer(LinkSettings(ANY_PORT, faults=plan), came.append)
+    two = LinkLayer(LinkSettings(ANY_PORT, faults=plan), received.append)
     two.open()
     two.dial(address)
     two.send(address, b'late')
     sent_at_once = two.counts.sent
-    await until(lambda: came)
+    await until(lambda: received)
     one.close()
     two.close()
-    return sent_at_once, came
+    return sent_at_once, received
 
 
-def test_planned_fault_holds_messages_back():
-    assert asyncio.run(send_late()) == (0, [b'late'])
+def test_planned_fault_delays_messages():
+    assert asyncio.run(send_delayed()) == (0, [b'late'])
