--- a/hillfield/fleet/tests/test_audience.py
+++ b/hillfield/fleet/tests/test_audience.py
@@ -1,4 +1,4 @@
-"""Whom a gate tells of its target's room."""
+"""The recipients of a gate's load reports."""
 
 from collections import Counter
 
@@ -22,35 +22,35 @@
 )
 
 
-def test_one_node_of_each_other_domain_is_told():
+def test_one_node_of_each_other_domain_is_a_recipient():
     audience = choose_audience(NODES[0], NODES)
     assert {ip[:5] for ip in audience.far} == {'10.1.', '10.2.'}
     assert len(audience.far) == 2
 
 
 def test_only_nodes_of_other_domains_are_elsewhere():
-    """What a near node sends is not passed on, however many there are.
+    """Reports of the own domain are not forwarded, in a domain of any size.
 
-    A domain of 47 whose 40 nearest alone counted as near passed each report
-    on and on: 5 of the 40 that got it took it for one from afar.
+    In a domain of 47 nodes of which only 40 counted as local, reports were
+    forwarded without end: 5 of 40 receivers took them for remote ones.
     """
-    crowd = tuple(make_node('a', number) for number in range(200))
-    others = (*crowd, *NODES[10:])
-    audience = choose_audience(crowd[0], others)
+    local = tuple(make_node('a', number) for number in range(200))
+    others = (*local, *NODES[10:])
+    audience = choose_audience(local[0], others)
     subnets = {ip[:5] for ip in audience.elsewhere}
     assert subnets == {'10.1.', '10.2.'}
     assert len(audience.elsewhere) == 20
 
 
-def test_the_nodes_of_a_domain_share_what_comes_from_afar():
-    told = Counter(
+def test_the_nodes_of_a_domain_share_remote_reports():
+    recipients = Counter(
         ip for node in NODES for ip in choose_audience(node, NODES).far
     )
-    assert len(told) > len(NODES) / 2
-    assert max(told.values()) <= 8
+    assert len(recipients) > len(NODES) / 2
+    assert max(recipients.values()) <= 8
 
 
-def test_other_regions_are_not_told():
-    elsewhere = make_node('a', 1, region='far')
-    audience = choose_audience(NODES[0], (elsewhere,))
+def test_nodes_of_other_regions_are_no_recipients():
+    remote = make_node('a', 1, region='far')
+    audience = choose_audience(NODES[0], (remote,))
     assert not (audience.far or audience.elsewhere)
--- a/hillfield/fleet/tests/test_cross_domain_links.py
+++ b/hillfield/fleet/tests/test_cross_domain_links.py
@@ -1,4 +1,4 @@
-"""Links between failure domains whose bytes are dear."""
+"""Links between failure domains, over which bytes cost much."""
 
 from random import Random
 
@@ -95,14 +95,14 @@
     number = int(settings.name[1:])
     if number < HOLDERS:
         state.set_relay_slot(f'{domain}/{number}')
-        for far in DOMAINS:
-            if far != domain:
-                state.dial(mesh.now, settings_of(far, number).link)
+        for remote in DOMAINS:
+            if remote != domain:
+                state.dial(mesh.now, settings_of(remote, number).link)
 
 
 def revisions_of(mesh):
-    ledgers = (state.core.ledger for state in mesh.states.values())
-    return {ledger.revision_of('/k') for ledger in ledgers}
+    entry_indexes = (state.core.ledger for state in mesh.states.values())
+    return {entry_index.revision_of('/k') for entry_index in entry_indexes}
 
 
 def seen_by(mesh, settings):
@@ -115,25 +115,25 @@
     assert all(seen_by(mesh, settings) == wanted for settings in ALL)
 
 
-def test_each_domain_tells_the_others_its_own_news_once_a_holder(mesh):
+def test_each_slot_holder_sends_only_updates_of_its_domain_and_once(mesh):
     changed = ALL[3]
     mesh.states[changed.link].publish_targets(
         mesh.now,
         (target_of(changed, 2),),
     )
     mesh.run(2)
-    told = [
+    updates = [
         update
         for message in mesh.crossed
         if isinstance(message, Statements)
         for update in message.updates
     ]
-    assert {update.name for update in told} == {changed.name}
-    assert len(told) <= HOLDERS * 2 * (len(DOMAINS) - 1)
+    assert {update.name for update in updates} == {changed.name}
+    assert len(updates) <= HOLDERS * 2 * (len(DOMAINS) - 1)
     assert target_of(changed, 2).id in seen_by(mesh, ALL[-1])
 
 
-def test_news_reaches_a_domain_whose_link_to_its_home_is_cut(mesh):
+def test_updates_reach_a_domain_whose_direct_links_are_cut(mesh):
     for first in ALL[:NODES]:
         for last in ALL[-NODES:]:
             mesh.cut.add((first.link, last.link))
@@ -147,7 +147,7 @@
     assert target_of(changed, 2).id in seen_by(mesh, ALL[-1])
 
 
-def test_entries_that_each_domain_reads_itself_do_not_cross(mesh):
+def test_entries_that_each_domain_reads_from_the_store_do_not_cross(mesh):
     for state in mesh.states.values():
         if state.core.own.record.relay_of:
             state.submit(Entry('/k', 7, b'routes'))
@@ -157,21 +157,21 @@
     assert revisions_of(mesh) == {7}
 
 
-def test_an_entry_that_a_domain_cannot_read_itself_comes_across_soon(mesh):
+def test_an_entry_that_a_domain_cannot_read_itself_crosses_soon(mesh):
     first = mesh.states[ALL[0].link]
     first.submit(Entry('/k', 7, b'routes'))
     mesh.run(1)
     assert revisions_of(mesh) == {7}
 
 
-def test_an_offer_of_the_own_domain_is_taken_up_at_once(mesh):
-    ledger = mesh.states[ALL[0].link].core.ledger
-    near = ALL[1].link
-    far = ALL[-1].link
-    ledger.record_offer(
-        far, Version('/k', 0, 7), mesh.now + CROSS_DOMAIN_PULL_DELAY
+def test_an_entry_offered_in_the_own_domain_is_pulled_at_once(mesh):
+    entry_index = mesh.states[ALL[0].link].core.ledger
+    local = ALL[1].link
+    remote = ALL[-1].link
+    entry_index.record_offer(
+        remote, Version('/k', 0, 7), mesh.now + CROSS_DOMAIN_PULL_DELAY
     )
-    assert not ledger.select_pulls(mesh.now, (near, far))
-    ledger.record_offer(near, Version('/k', 0, 7))
-    pulled = ledger.select_pulls(mesh.now, (near, far))
-    assert [missing.peer for missing in pulled] == [near]
+    assert not entry_index.select_pulls(mesh.now, (local, remote))
+    entry_index.record_offer(local, Version('/k', 0, 7))
+    pulled = entry_index.select_pulls(mesh.now, (local, remote))
+    assert [missing.peer for missing in pulled] == [local]
--- a/hillfield/fleet/tests/test_envelope.py
+++ b/hillfield/fleet/tests/test_envelope.py
@@ -25,10 +25,10 @@
 
 
 class SteppedClock:
-    """Stamp by a wall clock that stands still."""
+    """Stamp messages by a wall clock that does not advance."""
 
     def __init__(self, wall):
-        """Stand at `wall` milliseconds."""
+        """Set the wall clock to `wall` milliseconds."""
         self.wall = wall
         self.clock = HybridClock()
 
@@ -37,7 +37,7 @@
         return self.clock.tick(self.wall)
 
     def merge(self, remote):
-        """Take in the stamp of a message."""
+        """Advance the clock beyond the stamp of a message."""
         return self.clock.merge(self.wall, remote)
 
 
@@ -79,7 +79,7 @@
     assert codec.open(sealed).error == Refusal.MALFORMED
 
 
-def test_what_follows_a_message_is_ordered_after_what_went_before():
+def test_events_after_a_message_are_ordered_after_those_before_it():
     """A receiver whose wall clock lags still orders its events later."""
     ahead, lagging = SteppedClock(5000), SteppedClock(1000)
     before = ahead.stamp()
@@ -95,21 +95,21 @@
 
 
 def test_a_large_configuration_takes_a_fraction_of_its_bytes():
-    """218 kB of 1,200 routes with names go as 15 kB."""
+    """1,200 routes with names, 218 kB, are sent as 15 kB."""
     entries = Entries((Entry('routes', 9, make_routes(1200)),))
     sealed = Codec(SETTINGS).seal(entries, 7)
     assert len(sealed) < len(entries.entries[0].payload) / 3
     assert Codec(SETTINGS).open(sealed).ok.message == entries
 
 
-def test_bytes_that_don_t_shrink_are_opened_as_well():
+def test_incompressible_bytes_are_opened_as_well():
     noise = Random(1).randbytes(5000)
     entries = Entries((Entry('routes', 9, noise),))
     sealed = Codec(SETTINGS).seal(entries, 7)
     assert Codec(SETTINGS).open(sealed).ok.message == entries
 
 
-def test_what_would_be_too_large_uncompressed_is_refused():
+def test_a_body_too_large_after_decompression_is_refused():
     large = Entry('routes', 9, bytes(SETTINGS.message_limit + 1))
     sealed = Codec(SETTINGS).seal(Entries((large,)), 7)
     assert len(sealed) < 1000
--- a/hillfield/fleet/tests/test_fuzz.py
+++ b/hillfield/fleet/tests/test_fuzz.py
@@ -82,10 +82,10 @@
         self.watch(seconds)
 
     def watch(self, seconds):
-        """Look at each step: what reverts is soon mended by the next copy."""
+        """Check each step: a reverted value is soon replaced by the next copy."""
         for _ in range(round(seconds / TICK)):
             self.mesh.run(TICK)
-            self.nothing_reverts()
+            self.no_stamp_decreases()
 
     @rule(sender=node, receiver=node)
     def cut_one_way(self, sender, receiver):
@@ -113,11 +113,11 @@
         self.begin(address, self.mesh.restart(address))
 
     @rule(lost=st.sampled_from((0, 0.2, 0.6)), shuffled=st.booleans())
-    def change_weather(self, lost, shuffled):
-        weather = replace(self.mesh.faults, loss=lost, duplication=lost / 2)
-        weather.delay = lost
-        weather.shuffled = shuffled
-        self.mesh.faults = weather
+    def change_faults(self, lost, shuffled):
+        faults = replace(self.mesh.faults, loss=lost, duplication=lost / 2)
+        faults.delay = lost
+        faults.shuffled = shuffled
+        self.mesh.faults = faults
 
     @rule(address=node, key=key_letter)
     def accept(self, address, key):
@@ -128,7 +128,7 @@
 
     @rule(address=node, key=key_letter, age=st.integers(1, 3))
     def submit_late(self, address, key, age):
-        """A relay whose lease lapsed, or a rolled back answer."""
+        """Submit as a relay with an expired lease or a rolled back store does."""
         accepted = self.accepted.get(key)
         if accepted is not None:
             revision = max(1, accepted.revision - age)
@@ -143,7 +143,7 @@
             self.mesh.states[address].mark_loaded()
 
     @invariant()
-    def nothing_reverts(self):
+    def no_stamp_decreases(self):
         for address, state in self.mesh.states.items():
             seen = self.seen[address]
             for key, stamp in stamps_of(state).items():
@@ -170,17 +170,17 @@
     def teardown(self):
         self.mesh.cut.clear()
         self.mesh.paused.clear()
-        self.change_weather(0.1, shuffled=True)
+        self.change_faults(0.1, shuffled=True)
         for relay in RELAYS[:1]:
             self.read_store(relay)
         self.watch(45)
         self.state_is_bounded()
-        self.nothing_reverts()
+        self.no_stamp_decreases()
         for state in self.mesh.states.values():
             assert self.has_converged(state), 'not converged'
         gone = NODES[-1]
         self.mesh.remove(gone)
-        self.change_weather(0, shuffled=False)
+        self.change_faults(0, shuffled=False)
         self.mesh.run(16)
         self.state_is_bounded()
         for state in self.mesh.states.values():
@@ -228,19 +228,19 @@
     )
 
 
-def test_fleet_holds_its_promises():
+def test_fleet_keeps_its_invariants():
     run_machine()
 
 
-def adopt_any(ledger, entry):
-    ledger._store.adopt(entry)
-    ledger.summary.put(Version(entry.key, 0, entry.revision))
-    ledger._missing.pop(entry.key, None)
+def adopt_any(entry_index, entry):
+    entry_index._store.adopt(entry)
+    entry_index.summary.put(Version(entry.key, 0, entry.revision))
+    entry_index._missing.pop(entry.key, None)
     return True
 
 
-def take_other(book, key, incarnation, version):
-    held = book.get_by_key(key)
+def accept_other(table, key, incarnation, version):
+    held = table.get_by_key(key)
     if held is None:
         return True
     return (incarnation, version) != (held.incarnation, held.version)
@@ -251,7 +251,7 @@
     ('owner', 'method', 'fault', 'reason'),
     [
         (EntryIndex, 'adopt', adopt_any, 'entry . reverted'),
-        (StateTable, 'is_newer', take_other, 'member .* reverted'),
+        (StateTable, 'is_newer', accept_other, 'member .* reverted'),
         (Summary, 'sums', lambda _: (0,) * 64, 'not converged'),
     ],
     ids=['older revision', 'older record', 'no digests'],
--- a/hillfield/fleet/tests/test_peer_discovery.py
+++ b/hillfield/fleet/tests/test_peer_discovery.py
@@ -1,4 +1,4 @@
-"""What a node asks the store for when it starts."""
+"""The store calls by which a started node registers and discovers peers."""
 
 from asyncio import run
 from random import Random
@@ -23,7 +23,7 @@
 
 
 class FakeStore:
-    """Hold registrations; `read` lists how each reading was asked for."""
+    """Hold registrations; `read` lists whether each read may be stale."""
 
     def __init__(self, names):
         self.held = {make_key(name): make_link(name) for name in names}
@@ -43,14 +43,14 @@
         return Ok(Page(1, entries, more=False))
 
     async def swap(self, changes):
-        """Write unless something stands there."""
+        """Write a key that does not exist yet."""
         change = changes[0]
         self.written.append(change.key)
-        standing = self.held.get(change.key)
-        if standing is None:
+        current = self.held.get(change.key)
+        if current is None:
             self.held[change.key] = change.payload.decode()
             return Ok(Accepted(2))
-        entry = StoredValue(change.key, 1, str(standing).encode())
+        entry = StoredValue(change.key, 1, str(current).encode())
         return Ok(Conflict((entry,)))
 
 
@@ -64,7 +64,7 @@
 
 @fixture
 def start():
-    """Return what starts node `n0` against a store, and whom it dials."""
+    """Return a function that starts node `n0` and returns the dialled peers."""
 
     def begin(store):
         dialled: list[Address] = []
@@ -80,35 +80,38 @@
             ),
         )
         feed: Any = SimpleNamespace(report_error=lambda error: None)
-        meeting = PeerDiscovery(fleet, store, feed, Random(1))
-        return run(meeting.join()), dialled
+        discovery = PeerDiscovery(fleet, store, feed, Random(1))
+        return run(discovery.join()), dialled
 
     return begin
 
 
-def test_a_node_that_starts_again_asks_once_and_cheaply(start):
-    """Of three calls at each start of 235 hosts two were for introductions."""
+def test_a_restarted_node_makes_one_stale_read(start):
+    """Guards against store load: 235 hosts started with three calls each.
+
+    Two of the three calls were for registration and discovery.
+    """
     store = FakeStore(('n0', 'n1', 'n2', 'n3', 'n4'))
-    introduced, dialled = start(store)
-    assert introduced
+    joined, dialled = start(store)
+    assert joined
     assert store.read == [True]
     assert not store.written
     assert len(dialled) == 2
 
 
-def test_the_first_node_registers_and_reads_what_is_true_now(start):
+def test_the_first_node_registers_and_reads_consistently(start):
     store = FakeStore(())
-    introduced, dialled = start(store)
-    assert introduced
+    joined, dialled = start(store)
+    assert joined
     assert store.read == [True, False]
     assert store.written == [make_key(OWN)]
     assert not dialled
 
 
-def test_a_node_whose_peers_are_few_asks_for_what_is_true_now(start):
+def test_a_node_with_few_registered_peers_reads_consistently(start):
     store = FakeStore(('n0', 'n1'))
-    introduced, dialled = start(store)
-    assert introduced
+    joined, dialled = start(store)
+    assert joined
     assert store.read == [True, False]
     assert dialled == [make_link('n1')]
 
@@ -120,8 +123,8 @@
     assert store.written
 
 
-def test_nothing_is_taken_for_granted_while_the_store_is_down(start):
+def test_joining_fails_while_the_store_is_down(start):
     store = FakeStore(('n0', 'n1', 'n2', 'n3', 'n4'))
     store.down = True
-    introduced, _ = start(store)
-    assert not introduced
+    joined, _ = start(store)
+    assert not joined
--- a/hillfield/fleet/tests/test_pulls.py
+++ b/hillfield/fleet/tests/test_pulls.py
@@ -1,4 +1,4 @@
-"""Entries that a peer told of and did not send."""
+"""Entries that a peer announced and did not send."""
 
 from hillfield.fleet.mesh import MemoryStore
 from hillfield.fleet.messages import Version
@@ -11,37 +11,38 @@
 
 
 def test_another_peer_is_asked_soon():
-    """A configuration came 2.05 s after its ack; the bound is 2 s.
+    """A peer that is killed after an announcement delays the entry little.
 
-    The peer that had told of it was killed, and the next was asked after 2 s.
+    When the next peer was asked only after 2 s, a configuration arrived 2.05 s
+    after its acknowledgement; the bound is 2 s.
     """
-    ledger = EntryIndex(MemoryStore(), AGAIN)
-    ledger.record_offer(KILLED, Version('routes', 0, 62))
-    first = ledger.select_pulls(10, (KILLED, ALIVE))
+    entry_index = EntryIndex(MemoryStore(), AGAIN)
+    entry_index.record_offer(KILLED, Version('routes', 0, 62))
+    first = entry_index.select_pulls(10, (KILLED, ALIVE))
     assert [missing.peer for missing in first] == [KILLED]
-    assert not ledger.select_pulls(10.3, (ALIVE,))
-    second = ledger.select_pulls(10.5, (ALIVE,))
+    assert not entry_index.select_pulls(10.3, (ALIVE,))
+    second = entry_index.select_pulls(10.5, (ALIVE,))
     assert [missing.peer for missing in second] == [ALIVE]
 
 
-def ask(ledger, peers, *moments):
-    """Return who is asked for one entry at each of the moments."""
-    return [ledger.select_pulls(now, peers)[0].peer for now in moments]
+def ask(entry_index, peers, *moments):
+    """Return the peer that is asked for one entry at each of the moments."""
+    return [entry_index.select_pulls(now, peers)[0].peer for now in moments]
 
 
-def test_who_offered_a_change_is_asked_before_who_may_not_have_it():
-    told_nothing = tuple(Address('10.0.1.1', port) for port in range(5))
-    peers = (*told_nothing, KILLED, ALIVE)
-    ledger = EntryIndex(MemoryStore(), AGAIN)
+def test_peers_that_offered_a_change_are_asked_before_others():
+    without_offer = tuple(Address('10.0.1.1', port) for port in range(5))
+    peers = (*without_offer, KILLED, ALIVE)
+    entry_index = EntryIndex(MemoryStore(), AGAIN)
     for peer in (KILLED, ALIVE):
-        ledger.record_offer(peer, Version('routes', 0, 62))
-    asked = ask(ledger, peers, 10, 10.5, 11)
-    assert asked == [KILLED, ALIVE, told_nothing[0]]
+        entry_index.record_offer(peer, Version('routes', 0, 62))
+    asked = ask(entry_index, peers, 10, 10.5, 11)
+    assert asked == [KILLED, ALIVE, without_offer[0]]
 
 
-def test_an_offer_that_may_be_taken_up_sooner_goes_first():
-    ledger = EntryIndex(MemoryStore(), AGAIN)
-    ledger.record_offer(KILLED, Version('routes', 0, 62), earliest=10.2)
-    ledger.record_offer(ALIVE, Version('routes', 0, 62))
-    asked = ask(ledger, (KILLED, ALIVE), 10, 10.5)
+def test_an_offer_that_may_be_pulled_sooner_goes_first():
+    entry_index = EntryIndex(MemoryStore(), AGAIN)
+    entry_index.record_offer(KILLED, Version('routes', 0, 62), earliest=10.2)
+    entry_index.record_offer(ALIVE, Version('routes', 0, 62))
+    asked = ask(entry_index, (KILLED, ALIVE), 10, 10.5)
     assert asked == [ALIVE, KILLED]
--- a/hillfield/fleet/tests/test_relay.py
+++ b/hillfield/fleet/tests/test_relay.py
@@ -66,7 +66,7 @@
 
 
 async def run_two_nodes(store):
-    """Two nodes that know no address: only the store brings them together."""
+    """Run two nodes without known addresses, which meet through the store."""
     journal = ListJournal()
     one, first = await start('one', store, journal)
     two, second = await start('two', store, journal)
@@ -78,7 +78,7 @@
     return journal
 
 
-def test_nodes_meet_and_are_fed_by_the_store_alone():
+def test_nodes_discover_peers_and_entries_through_the_store_alone():
     async def scenario():
         store = StandIn()
         await store.swap((Change(KEY, 0, b'template'),))
@@ -93,16 +93,16 @@
 SLOT_KEY = '/hillfield/north/relays/d/0'
 
 
-class MuteStore(StandIn):
-    """Never answer that a lease is ended."""
+class UnresponsiveStore(StandIn):
+    """Never answer the revocation of a lease."""
 
     async def revoke(self, lease):
-        """Wait for good."""
+        """Wait without end."""
         await asyncio.Event().wait()
 
 
 async def hold_and_leave(store):
-    """Hold a slot, then stop; return what stands in the store."""
+    """Hold a slot, then stop; return the slot's value in the store."""
     fleet, task = await start('one', store, ListJournal())
     own = fleet.state.core.own
     await until(lambda: own.record.relay_of)
@@ -114,16 +114,16 @@
     return (await store.get(SLOT_KEY)).ok
 
 
-def test_stopped_relay_gives_its_slot_up():
+def test_stopped_relay_releases_its_slot():
     assert asyncio.run(hold_and_leave(StandIn())) is None
 
 
-def test_stopping_waits_no_longer_than_bounded_for_the_store():
-    assert asyncio.run(hold_and_leave(MuteStore())) is not None
+def test_stopping_waits_for_the_store_only_for_a_bounded_time():
+    assert asyncio.run(hold_and_leave(UnresponsiveStore())) is not None
 
 
 @pytest.mark.parametrize('revision', [3, 9])
-def test_snapshot_deletes_what_it_lacks_but_nothing_newer(revision):
+def test_snapshot_deletes_absent_entries_but_no_newer_ones(revision):
     state = FleetState(settings_of('one'), MemoryStore())
     prefix = '/hillfield/north/templates/'
     submit_snapshot(
@@ -140,7 +140,7 @@
     assert state.core.counts.get('store-behind', 0) == (revision == 3)
 
 
-def test_holder_looks_for_no_second_slot():
+def test_slot_holder_claims_no_second_slot():
     state = FleetState(settings_of('one'), MemoryStore())
     opened = find_open_slot(state.core)
     assert opened is not None and opened.slot == 'd/0'
--- a/hillfield/fleet/tests/test_robustness.py
+++ b/hillfield/fleet/tests/test_robustness.py
@@ -1,4 +1,4 @@
-"""What a faulty node that holds the cluster's key can't do to others."""
+"""Limits of the harm that a faulty node with the cluster's key can do."""
 
 from math import inf, nan
 
@@ -99,7 +99,7 @@
     st.builds(Versions, number, number, versions),
     st.builds(Referral, listed(address)),
 )
-letter = st.builds(
+received_message = st.builds(
     Received,
     st.sampled_from(('node-0001', 'node-0001', 'node-0003', 'foreign', '')),
     st.sampled_from((1, 1, 2, MOST, LEAST)),
@@ -107,11 +107,11 @@
 )
 
 
-def take_all(state, letters):
-    """Take in all, and code what the state answers, as its links would."""
+def handle_all(state, messages):
+    """Handle all messages, and encode the state's answers as links would."""
     codec = Codec(state.core.settings)
     now = state.core.times.ticked
-    for received in letters:
+    for received in messages:
         now += 0.3
         body = Body(received.sender, received.incarnation, received.message)
         opened = codec.open(seal(codec, encode(body)))
@@ -133,43 +133,43 @@
 
 
 @settings(FUZZ, max_examples=400)
-@given(st.lists(letter, max_size=6))
-def test_no_sealed_message_is_too_absurd(letters):
+@given(st.lists(received_message, max_size=6))
+def test_any_authenticated_message_is_handled(messages):
     state = load_state(NODES, 1)
-    take_all(state, letters)
+    handle_all(state, messages)
     core = state.core
     assert len(core.links) <= core.settings.accepted_links + NODES
     for target in core.view.targets():
         assert min(target.slots, target.weight, target.id.address.port) > 0
-    for finding in core.findings.evidence():
-        assert all(0 <= piece.slowness < inf for piece in finding.evidence)
+    for observed in core.findings.evidence():
+        assert all(0 <= piece.slowness < inf for piece in observed.evidence)
 
 
-def test_node_of_the_absurdest_incarnation_is_not_believed():
+def test_update_with_the_highest_incarnation_is_refused():
     state = load_state(NODES, 1)
-    absurd = Statement(Kind.EVIDENCE, 'node-0000', MOST, MOST, b'')
-    take_all(state, [Received('node-0001', 1, Statements((absurd,)))])
+    extreme = Statement(Kind.EVIDENCE, 'node-0000', MOST, MOST, b'')
+    handle_all(state, [Received('node-0001', 1, Statements((extreme,)))])
     assert state.core.own.incarnation == 1
     assert state.core.counts['absurd-version'] == 1
 
 
-def test_targets_that_routing_cannot_reckon_with_are_left_out():
+def test_targets_with_invalid_numbers_are_left_out():
     codec = RecordCodec()
     home = settings_of(2).locality
-    sane = TargetRow('s', '127.0.0.1', 80, 1, 8, 8, 1, TargetState.READY)
-    insane = [
-        replace(sane, slots=0),
-        replace(sane, slots=MOST),
-        replace(sane, connection_limit=-1),
-        replace(sane, port=MOST),
-        replace(sane, weight=-inf),
-        replace(sane, weight=nan),
+    valid = TargetRow('s', '127.0.0.1', 80, 1, 8, 8, 1, TargetState.READY)
+    invalid = [
+        replace(valid, slots=0),
+        replace(valid, slots=MOST),
+        replace(valid, connection_limit=-1),
+        replace(valid, port=MOST),
+        replace(valid, weight=-inf),
+        replace(valid, weight=nan),
     ]
-    read = codec.decode_targets(home, encode([sane, *insane]))
-    assert [target.slots for target in read] == [8]
+    decoded = codec.decode_targets(home, encode([valid, *invalid]))
+    assert [target.slots for target in decoded] == [8]
 
 
-def test_flood_of_foreign_names_leaves_room_for_known_nodes():
+def test_flood_of_unknown_names_does_not_block_known_nodes():
     state = load_state(NODES, 1)
     core = state.core
     heavy = bytes(PAYLOAD_LIMIT)
--- a/hillfield/fleet/tests/test_state.py
+++ b/hillfield/fleet/tests/test_state.py
@@ -79,7 +79,7 @@
             mesh.cut |= {(one, other), (other, one)}
 
 
-def test_all_know_all(mesh):
+def test_all_nodes_know_all_members_and_targets(mesh):
     assert all_alive(mesh)
     assert {len(targets(mesh, address)) for address in NODES} == {8}
     assert all(state.core.own.ready for state in mesh.states.values())
@@ -126,7 +126,7 @@
 
 @pytest.mark.parametrize('paused', PAUSED)
 def test_change_spreads_while_relays_are_paused(mesh, paused):
-    """Any other relay feeds all: of a domain's two, or of another domain."""
+    """Any other relay suffices, of the same or of another failure domain."""
     mesh.paused |= set(paused)
     mesh.run(0.1)
     mesh.states[NODES[6]].submit(Entry('/a', 2, b'new'))
@@ -153,11 +153,11 @@
     mesh.run(75)
     assert all_alive(mesh)
     for address in NODES:
-        ledger = core_of(mesh, address).ledger
-        assert ledger.revision_of('/a') == 2
+        entry_index = core_of(mesh, address).ledger
+        assert entry_index.revision_of('/a') == 2
 
 
-def test_node_that_hears_nobody_keeps_its_targets(mesh):
+def test_isolated_node_keeps_the_targets_of_others(mesh):
     alone = NODES[5]
     for other in NODES:
         mesh.cut |= {(alone, other), (other, alone)}
@@ -177,7 +177,7 @@
     assert EventCode.PAUSE_NOTICED in codes
 
 
-def test_pauses_leave_no_link_that_neither_end_would_close(mesh):
+def test_after_pauses_each_link_has_an_end_that_dialled_it(mesh):
     for paused in NODES:
         mesh.paused.add(paused)
         mesh.run(12)
@@ -191,17 +191,17 @@
             assert link.dialled or back.dialled
 
 
-def test_evidence_spreads_and_fades(mesh):
+def test_evidence_is_disseminated_and_expires(mesh):
     slow = target_of(NODES[1]).id
     seen = Evidence(slow, Symptom.SLOW, 40, 2, 3.5)
     sender = mesh.states[NODES[5]]
     sender.publish_evidence(mesh.now, (seen,))
     mesh.run(1)
-    findings = core_of(mesh, NODES[0]).findings
-    assert [piece.evidence for piece in findings.evidence()] == [(seen,)]
+    view = core_of(mesh, NODES[0]).findings
+    assert [piece.evidence for piece in view.evidence()] == [(seen,)]
     mesh.remove(NODES[5])
     mesh.run(12)
-    assert not findings.evidence()
+    assert not view.evidence()
 
 
 def test_clock_set_back_raises_the_incarnation(mesh):
@@ -211,11 +211,11 @@
     own = core_of(mesh, NODES[5]).own
     assert own.incarnation == 2
     assert alive(mesh, NODES[0]) == 8
-    book = core_of(mesh, NODES[0]).book
-    assert not book.is_newer('mnode-5', 2, 1)
+    state_table = core_of(mesh, NODES[0]).book
+    assert not state_table.is_newer('mnode-5', 2, 1)
 
 
-def test_second_process_of_a_name_is_reported_and_does_not_quarrel(mesh):
+def test_second_process_of_a_name_is_reported_without_endless_updates(mesh):
     elsewhere = Address('127.0.0.1', 9100)
     namesake = replace(settings_of(NODES[5]), link=elsewhere, incarnation=9)
     mesh.add(namesake)
@@ -286,10 +286,10 @@
 
 
 def test_an_address_is_dialled_at_the_next_tick(mesh):
-    """After a loss of power nodes found those of other domains 5 s later.
+    """Addresses read from the store do not wait for the discovery interval.
 
-    They took up what they read from the store at their turns: the first
-    after a second, each further one after five.
+    After a power loss, nodes dialled those of other domains one by one, the
+    first after a second and each further one 5 s later.
     """
     state = mesh.states[NODES[0]]
     peers = (Address('127.0.0.9', 9000), Address('127.0.0.9', 9001))
@@ -300,20 +300,22 @@
     assert set(peers) <= set(dialled)
 
 
-def test_a_node_without_signs_of_neighbours_is_cut_off_soon(mesh):
-    """Neighbours killed with a change of the configuration told of nothing.
+def test_a_node_without_messages_of_neighbours_is_cut_off_soon(mesh):
+    """Guards against a late change when neighbours are killed with it.
 
-    A node used the version before for 2.05 s after the ack of the next one;
-    it thought its neighbours alive for 3 s.
+    A node took its killed neighbours for alive for 3 s, did not read the
+    store, and used an old configuration for 2.05 s after the acknowledgement
+    of a new one.
     """
     core = mesh.states[NODES[0]].core
-    heard = max(link.last_activity for link in core.heard_links())
-    assert not is_cut_off(core, heard + 0.7)
-    assert is_cut_off(core, heard + 0.9)
+    last = max(link.last_activity for link in core.heard_links())
+    assert not is_cut_off(core, last + 0.7)
+    assert is_cut_off(core, last + 0.9)
 
 
 def test_a_short_pause_of_its_own_costs_a_node_no_neighbour(mesh):
-    # What they said in it lay unread, and they were taken for silent.
+    # Messages that came during the pause are unread: without the discount,
+    # the neighbours would count as silent.
     paused = NODES[5]
     links = core_of(mesh, paused).links
     for link in links:
--- a/hillfield/fleet/tests/test_store_reads.py
+++ b/hillfield/fleet/tests/test_store_reads.py
@@ -1,4 +1,4 @@
-"""Whose turn it is to read the store, and what confirms what a node holds."""
+"""Which nodes read the store and when, and what confirms a node's entries."""
 
 from math import isinf
 from random import Random
@@ -23,8 +23,8 @@
 
 NODES = 12
 KEY = 'routes'
-# Seconds within which a change is promised to be in force.
-PROMISED = 2
+# Seconds within which a change must be in force.
+REQUIRED = 2
 # Seconds of two steps of the mesh.
 AT_ONCE = 0.2
 
@@ -52,10 +52,10 @@
     mesh = Mesh(Random(4))
     for number in range(NODES):
         mesh.add(settings_of(number))
-    follower = find_state(mesh, 0)
-    follower.set_relay_slot('a/0')
-    follower.submit(Entry(KEY, 7, b'routes'))
-    follower.mark_loaded()
+    watcher = find_state(mesh, 0)
+    watcher.set_relay_slot('a/0')
+    watcher.submit(Entry(KEY, 7, b'routes'))
+    watcher.mark_loaded()
     mesh.run(8)
     return mesh
 
@@ -65,7 +65,7 @@
 
 
 def read_store(mesh, number):
-    """Let a node read the store now, and what it tells arrive."""
+    """Let a node read the store now, and deliver what it sends."""
     state = find_state(mesh, number)
     effects = state.handle_event(mesh.now, StoreRead(mesh.now))
     mesh.send_effects(settings_of(number).link, effects)
@@ -76,27 +76,27 @@
     return [find_age(state.core, mesh.now) for state in mesh.states.values()]
 
 
-def test_one_reading_confirms_what_all_nodes_hold_at_once(mesh):
+def test_one_store_read_confirms_the_entries_of_all_nodes_at_once(mesh):
     assert all(map(isinf, ages_of(mesh)))
     read_store(mesh, 0)
     assert max(ages_of(mesh)) < AT_ONCE
 
 
-def test_signs_of_life_of_neighbours_that_know_no_more_confirm_nothing(mesh):
+def test_heartbeats_without_a_newer_store_read_confirm_nothing(mesh):
     read_store(mesh, 0)
     mesh.run(5)
     assert min(ages_of(mesh)) > 4
     core = find_state(mesh, 5).core
     assert core.heard_links()
-    turns = [is_read_due(state.core, mesh.now) for state in list_states(mesh)]
-    assert any(turns)
+    due = [is_read_due(state.core, mesh.now) for state in list_states(mesh)]
+    assert any(due)
 
 
 def list_states(mesh):
     return tuple(mesh.states.values())
 
 
-def test_a_reading_confirms_nothing_at_a_node_that_lacks_what_was_read(mesh):
+def test_a_store_read_confirms_nothing_at_a_node_without_its_entries(mesh):
     read_store(mesh, 0)
     behind = find_state(mesh, 5)
     others = [state for state in list_states(mesh) if state is not behind]
@@ -113,48 +113,49 @@
     assert find_age(behind.core, mesh.now) < AT_ONCE
 
 
-def test_followers_read_one_after_another_and_none_too_late(mesh):
+def test_watchers_read_one_after_another_and_none_too_late(mesh):
     slots = ('a/0', 'b/0', 'c/0', 'a/1', 'b/1', 'c/1')
     for number, slot in enumerate(slots):
         find_state(mesh, number).set_relay_slot(slot)
     mesh.run(3)
     read_store(mesh, 0)
-    cores = [find_state(mesh, place).core for place in range(len(slots))]
+    cores = [find_state(mesh, position).core for position in range(len(slots))]
     waits = [compute_watcher_age_limit(core, mesh.now) for core in cores]
     steps = [
-        WATCHER_READ_AGE + READ_STAGGER * place for place in range(len(slots))
+        WATCHER_READ_AGE + READ_STAGGER * position
+        for position in range(len(slots))
     ]
     assert waits == [min(step, MAX_AGE) for step in steps]
-    assert max(waits) < PROMISED
+    assert max(waits) < REQUIRED
 
 
-def test_a_lone_follower_reads_often_enough_by_itself(mesh):
+def test_a_lone_watcher_reads_often_enough_by_itself(mesh):
     core = find_state(mesh, 0).core
     read_store(mesh, 0)
     assert compute_watcher_age_limit(core, mesh.now) == LONE_WATCHER_AGE
 
 
-def test_a_node_leaves_the_store_alone_once_neighbours_read_in_vain(mesh):
+def test_a_node_defers_its_read_once_reads_of_neighbours_failed(mesh):
     read_store(mesh, 0)
     mesh.run(2)
     core = max(
         (state.core for state in list_states(mesh)),
         key=lambda core: len(core.heard_links()),
     )
-    rivals = core.heard_links()
-    assert len(rivals) > 2
-    for link in rivals:
+    links = core.heard_links()
+    assert len(links) > 2
+    for link in links:
         link.read_failed = True
     assert defers_read(core, mesh.now)
-    rivals[0].read_failed = False
-    for link in rivals[3:]:
+    links[0].read_failed = False
+    for link in links[3:]:
         link.read_failed = False
         link.confirmed = mesh.now
-    rivals[0].confirmed = mesh.now
+    links[0].confirmed = mesh.now
     assert not defers_read(core, mesh.now)
 
 
-def test_a_node_defers_to_no_neighbour_that_may_be_gone(mesh):
+def test_a_node_does_not_defer_to_a_silent_neighbour(mesh):
     read_store(mesh, 0)
     mesh.run(2)
     core = find_state(mesh, 5).core
