--- a/hillfield/fleet/core.py
+++ b/hillfield/fleet/core.py
@@ -68,7 +68,7 @@
     members_refreshed: float = -inf
     addresses_tried: float = -inf
     wait_reported: float = -inf
-    hashes_sent: float = -inf
+    states_compared: float = -inf
     confirmation_sent: float = -inf
 
     def record_start(self, now: float) -> None:
--- a/hillfield/fleet/event_handlers.py
+++ b/hillfield/fleet/event_handlers.py
@@ -22,17 +22,17 @@
 
 
 @singledispatch
-def handle_event(event: object, core: Core, now: float) -> None:
+def apply_event(event: object, core: Core, now: float) -> None:
     """Apply an event to the state."""
     raise TypeError(type(event).__name__)
 
 
-@handle_event.register
+@apply_event.register
 def _(event: Received, core: Core, now: float) -> None:
     receive_message(core, now, event)
 
 
-@handle_event.register
+@apply_event.register
 def _(event: Refused, core: Core, now: float) -> None:
     reason = event.reason.value
     core.count(reason)
@@ -48,7 +48,7 @@
         )
 
 
-@handle_event.register
+@apply_event.register
 def _(event: StoreRead, core: Core, now: float) -> None:
     if event.requested is None:
         core.own.read_failed = True
@@ -56,7 +56,7 @@
         confirm_entries(core, now, event.requested)
 
 
-@handle_event.register
+@apply_event.register
 def _(event: Ticked, core: Core, now: float) -> None:
     core.times.record_start(now)
     link_maintenance.handle_pause(core, now)
--- a/hillfield/fleet/outbox.py
+++ b/hillfield/fleet/outbox.py
@@ -70,8 +70,8 @@
 
     def set_node_count(self, nodes: int) -> None:
         """Set the batching interval of updates by the number of live nodes."""
-        interval = nodes * GATHER_SECONDS_PER_NODE
-        self._updates.interval = max(self._settings.flush_after, interval)
+        seconds = nodes * GATHER_SECONDS_PER_NODE
+        self._updates.interval = max(self._settings.flush_after, seconds)
 
     def send(self, peer: Address, message: Message) -> None:
         """Send a message with the next effects, not batched."""
--- a/hillfield/fleet/replication/anti_entropy.py
+++ b/hillfield/fleet/replication/anti_entropy.py
@@ -124,9 +124,9 @@
     if not link.up or not is_persistent or now - link.hashes_sent < pause:
         return
     if subject == Subject.STATE_UPDATES:
-        if now - core.times.hashes_sent < STATE_COMPARE_GAP:
+        if now - core.times.states_compared < STATE_COMPARE_GAP:
             return
-        core.times.hashes_sent = now
+        core.times.states_compared = now
     link.mismatches[subject] = 1
     if subject == Subject.ENTRIES or not link.mismatches[Subject.ENTRIES]:
         link.hashes_sent = now
--- a/hillfield/fleet/replication/entry_index.py
+++ b/hillfield/fleet/replication/entry_index.py
@@ -95,8 +95,10 @@
 
     def keys_under(self, prefix: str) -> tuple[str, ...]:
         """Return the keys under a prefix, without deleted entries."""
-        keys = (key for key in self.summary.keys() if key.startswith(prefix))
-        return tuple(key for key in keys if self._is_present(key))
+        matching = (
+            key for key in self.summary.keys() if key.startswith(prefix)
+        )
+        return tuple(key for key in matching if self._is_present(key))
 
     def newest_under(self, prefix: str) -> int:
         """Return the highest revision held under a prefix."""
--- a/hillfield/fleet/state.py
+++ b/hillfield/fleet/state.py
@@ -10,7 +10,7 @@
 from hillfield.fleet.core_builder import build_core
 from hillfield.fleet.core import EntrySource
 from hillfield.fleet.effects import Effect, Event, Ticked
-from hillfield.fleet.event_handlers import handle_event
+from hillfield.fleet.event_handlers import apply_event
 from hillfield.fleet.peering import link_maintenance
 from hillfield.fleet.publishing import Publisher
 from hillfield.fleet.records import NodeState
@@ -34,7 +34,7 @@
     def handle_event(self, now: float, event: Event) -> tuple[Effect, ...]:
         """Apply an event and return the effects to run."""
         core = self.core
-        handle_event(event, core, now)
+        apply_event(event, core, now)
         if isinstance(event, Ticked):
             self._publisher.publish_due(now)
         link_maintenance.update_reachable_peers(core)
--- a/hillfield/fleet/tests/test_cross_domain_links.py
+++ b/hillfield/fleet/tests/test_cross_domain_links.py
@@ -29,13 +29,13 @@
     def count(self, kind):
         return sum(isinstance(message, kind) for message in self.crossed)
 
-    def _deliver_message(self, message):
-        sender = self.states.get(message.sender)
-        receiver = self.states[message.receiver]
-        opened = Codec(receiver.core.settings).open(message.sealed)
+    def _deliver_message(self, in_flight):
+        sender = self.states.get(in_flight.sender)
+        receiver = self.states[in_flight.receiver]
+        opened = Codec(receiver.core.settings).open(in_flight.sealed)
         if sender is None or domain_of(sender) != domain_of(receiver):
             self.crossed.append(opened.ok.message)
-        super()._deliver_message(message)
+        super()._deliver_message(in_flight)
 
 
 def domain_of(state):
@@ -122,14 +122,14 @@
         (target_of(changed, 2),),
     )
     mesh.run(2)
-    updates = [
+    sent = [
         update
         for message in mesh.crossed
         if isinstance(message, Statements)
         for update in message.updates
     ]
-    assert {update.name for update in updates} == {changed.name}
-    assert len(updates) <= HOLDERS * 2 * (len(DOMAINS) - 1)
+    assert {update.name for update in sent} == {changed.name}
+    assert len(sent) <= HOLDERS * 2 * (len(DOMAINS) - 1)
     assert target_of(changed, 2).id in seen_by(mesh, ALL[-1])
 
 
--- a/hillfield/hostroutes/tests/test_planner.py
+++ b/hillfield/hostroutes/tests/test_planner.py
@@ -54,9 +54,9 @@
 
 @fixture
 def planner():
-    planner = HostPlanner(SETTINGS, read_table, Random(1), ListJournal())
-    planner.adopt(Entry('routes', 5, b'2'))
-    return planner
+    adopted = HostPlanner(SETTINGS, read_table, Random(1), ListJournal())
+    adopted.adopt(Entry('routes', 5, b'2'))
+    return adopted
 
 
 def resolve(planner, path, host=TILL):
@@ -152,14 +152,14 @@
 def keyed_planner():
     tables = {b'3': KEYED, b'4': REVOKED}
     journal = ListJournal()
-    planner = HostPlanner(
+    adopted = HostPlanner(
         SETTINGS,
         lambda payload: Ok(tables[payload]),
         Random(1),
         journal,
     )
-    planner.adopt(Entry('routes', 7, b'3'))
-    return planner
+    adopted.adopt(Entry('routes', 7, b'3'))
+    return adopted
 
 
 def resolve_with_key(planner, key, path='/x/'):
