--- a/hillfield/fleet/core.py
+++ b/hillfield/fleet/core.py
@@ -59,7 +59,10 @@
 
 @dataclass(slots=True)
 class Timestamps:
-    """Hold when each periodic task last ran, in monotonic seconds."""
+    """Hold when each periodic task last ran, in monotonic seconds.
+
+    `confirmation_sent` is the value of `confirmed` in the last heartbeats.
+    """
 
     started: float = inf
     ticked: float = -inf
@@ -83,7 +86,7 @@
     """Hold the parts of a node's fleet state.
 
     `lost_since` maps unreachable nodes to when they were lost,
-    `banned_until` addresses to when they may be dialled again,
+    `banned_until` addresses to when their nodes may be chosen as peers again,
     `refusals_reported` reasons of refusals to when they were last reported.
     """
 
--- a/hillfield/fleet/peering/link_maintenance.py
+++ b/hillfield/fleet/peering/link_maintenance.py
@@ -28,7 +28,7 @@
 DISCOVERY_INTERVAL: Final = 5.0
 # Age in seconds from which a dialled link that is not needed is closed.
 SURPLUS_LINK_AGE: Final = 30.0
-# Seconds for which the address of a silent peer is not dialled again.
+# Seconds for which a silent peer is not chosen again.
 BAN_SECONDS: Final = 15.0
 # Seconds from the time at which a store read is due until the first watcher
 # has read the store and its heartbeats have come.
--- a/hillfield/fleet/replication/anti_entropy.py
+++ b/hillfield/fleet/replication/anti_entropy.py
@@ -30,7 +30,7 @@
 CROSS_DOMAIN_MISMATCHES: Final = 6
 COMPARE_INTERVAL: Final = 3.0
 JOIN_COMPARE_INTERVAL: Final = 0.5
-# Differing buckets that a neighbour answers at once to a node that is ready.
+# Differing buckets that a ready node requests in one comparison.
 BUCKETS_PER_COMPARISON: Final = 16
 # Seconds between two comparisons of state updates with any neighbours. While
 # nodes start, all neighbours differ until the same updates have come over
