--- a/hillfield/announcements/lives.py
+++ b/hillfield/announcements/incarnations.py
@@ -1,4 +1,4 @@
-"""One life of a target as its node knows it."""
+"""The state of one announced incarnation of a target."""
 
 from typing import Final
 
@@ -12,56 +12,56 @@
 CONNECTIONS_PER_SLOT: Final = 4
 
 
-class Place(Struct, frozen=True, order=True):
-    """Say which service a target serves, and where."""
+class Endpoint(Struct, frozen=True, order=True):
+    """Identify a target, over its restarts, by service and address."""
 
     service: str
     address: Address
 
 
 class Life(Struct, frozen=True):
-    """Hold a target's newest announcement and what is told of it.
+    """Hold a target's newest announcement and what is published of it.
 
-    `reported` is what the target says, `shown` what other nodes are told (never
-    the load);
-    `heard`, `changed` and `draining` are monotonic seconds: the newest
-    heartbeat, the newest change of `shown`, the start of the drain.
-    `given` says that the target chose its incarnation itself.
+    `reported` is the target as announced, `shown` as published to other
+    nodes, without the load. `heard`, `last_change` and `drain_started` are
+    monotonic seconds: the newest heartbeat, the newest change of `shown` and
+    the start of the drain. `chose_incarnation` is whether the target itself
+    set its incarnation.
     """
 
     reported: Target
     shown: Target
     heard: float
-    changed: float
-    given: bool
-    draining: float | None = None
+    last_change: float
+    chose_incarnation: bool
+    drain_started: float | None = None
 
     def is_silent(self, now: float, settings: AnnouncementSettings) -> bool:
-        """Tell whether heartbeats have been missing for the expiry."""
+        """Return whether the last heartbeat is older than the expiry."""
         return now - self.heard > settings.expiry
 
-    def is_over(self, now: float, settings: AnnouncementSettings) -> bool:
-        """Tell whether the life is to be forgotten."""
+    def is_expired(self, now: float, settings: AnnouncementSettings) -> bool:
+        """Return whether the incarnation is to be removed."""
         if not self.is_silent(now, settings):
             return False
-        if self.draining is None:
+        if self.drain_started is None:
             return True
-        return now - self.draining > settings.drain_seconds
+        return now - self.drain_started > settings.drain_seconds
 
-    def excuse(self, now: float, seconds: float) -> 'Life':
-        """Return the life as if it had been heard so many seconds later."""
+    def discount_pause(self, now: float, seconds: float) -> 'Life':
+        """Return a copy whose last heartbeat is this many seconds later."""
         return replace(self, heard=min(now, self.heard + seconds))
 
-    def continues(
+    def is_continued_by(
         self,
         now: float,
         announcement: Announcement,
         settings: AnnouncementSettings,
     ) -> bool:
-        """Tell whether the announcement is not the start of a new life.
+        """Return whether the announcement does not start a new incarnation.
 
-        That of an earlier life counts as this one's while heartbeats come,
-        so that it is refused rather than listed.
+        While heartbeats come, this is also true for an announcement of an
+        earlier incarnation, so that it is refused rather than listed.
         """
         known = self.reported.id.incarnation
         if announcement.incarnation == known:
@@ -78,7 +78,7 @@
     locality: Locality,
     incarnation: int,
 ) -> Target:
-    """Make the target; the node's locality fills in what it left out."""
+    """Build the target; the node's locality replaces missing parts."""
     limit = announcement.connection_limit
     return Target(
         TargetId(announcement.service, announcement.address, incarnation),
@@ -95,42 +95,49 @@
     )
 
 
-def begin_life(now: float, reported: Target, *, given: bool) -> Life:
-    """Start a life with its first announcement."""
-    shown = replace(reported, load=None)
+def start_incarnation(now: float, reported: Target, *, chosen: bool) -> Life:
+    """Build the state after the first announcement.
+
+    `chosen` is whether the target itself set its incarnation.
+    """
+    without_load = replace(reported, load=None)
     is_draining = reported.state is TargetState.DRAINING
     started = now if is_draining else None
-    return Life(reported, shown, now, now, given, started)
+    return Life(reported, without_load, now, now, chosen, started)
 
 
-def continue_life(
+def update_incarnation(
     now: float,
-    life: Life,
+    current: Life,
     reported: Target,
     settings: AnnouncementSettings,
 ) -> Life:
-    """Take the next announcement; a drain is never taken back."""
-    if life.draining is not None:
+    """Apply the next announcement; a drain is never revoked."""
+    if current.drain_started is not None:
         reported = replace(reported, state=TargetState.DRAINING)
-    heard = replace(life, reported=reported, heard=now)
-    plain = replace(reported, load=None)
-    if plain == life.shown or not _may_show(now, life, plain, settings):
-        return heard
-    started = life.draining
+    updated = replace(current, reported=reported, heard=now)
+    without_load = replace(reported, load=None)
+    if without_load == current.shown or not _is_change_due(
+        now, current, without_load, settings
+    ):
+        return updated
+    started = current.drain_started
     if started is None and reported.state is TargetState.DRAINING:
         started = now
-    return replace(heard, shown=plain, changed=now, draining=started)
+    return replace(
+        updated, shown=without_load, last_change=now, drain_started=started
+    )
 
 
-def _may_show(
+def _is_change_due(
     now: float,
-    life: Life,
+    current: Life,
     reported: Target,
     settings: AnnouncementSettings,
 ) -> bool:
-    if _is_urgent(life.shown.state, reported.state):
+    if _is_urgent(current.shown.state, reported.state):
         return True
-    return now - life.changed >= settings.change_interval
+    return now - current.last_change >= settings.change_interval
 
 
 def _is_urgent(old: TargetState, new: TargetState) -> bool:
--- a/hillfield/fleet/mesh.py
+++ b/hillfield/fleet/mesh.py
@@ -1,6 +1,6 @@
-"""Carry sealed messages between states in one process, for tests of them.
+"""Simulated network between states in one process, for tests.
 
-It knows nothing of the protocol: states are plain objects, time is a number,
+It does not depend on the protocol: states are plain objects, time is a number,
 and each message passes through the codec as it would over a link.
 """
 
@@ -20,12 +20,14 @@
 from hillfield.model import Address
 
 TICK: Final = 0.1
-STORM: Final = 60
+# Deliveries in one step, as a multiple of the squared number of nodes, from
+# which messages count as a storm that would not end.
+STORM_FACTOR: Final = 60
 QUEUE_LIMIT: Final = 256
 
 
 class MemoryStore:
-    """Keep what it is given: the guard against older entries isn't here."""
+    """Store any entry, also an older one, which the caller must refuse."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -36,7 +38,7 @@
         self.entries[entry.key] = entry
 
     def wants(self, key: str, revision: int) -> bool:
-        """Want all."""
+        """Return True for any revision."""
         return bool(key) and revision > 0
 
     def entry(self, key: str) -> Entry | None:
@@ -44,8 +46,8 @@
         return self.entries.get(key)
 
 
-class Letter(Struct, frozen=True):
-    """Hold a message on its way."""
+class InFlightMessage(Struct, frozen=True):
+    """Hold a message that is not delivered yet."""
 
     sender: Address
     receiver: Address
@@ -53,51 +55,51 @@
 
 
 @dataclass(slots=True)
-class Weather:
-    """Say what happens to messages: which share is lost, doubled or late.
+class NetworkFaults:
+    """Hold the shares of messages that are lost, duplicated or delayed.
 
-    A late one comes a tick later, or more. With `stepwise` a message takes a
-    tick for each hop, as a batch may.
+    A delayed one comes one or more ticks later. With `stepwise` a message
+    takes a tick for each hop, as a batch may.
     """
 
     random: Random
     stepwise: bool = False
-    lost: float = 0
-    doubled: float = 0
-    late: float = 0
+    loss: float = 0
+    duplication: float = 0
+    delay: float = 0
     shuffled: bool = False
 
 
 class Mesh:
-    """Hold states and what is on its way between them."""
+    """Hold states and the messages in flight between them."""
 
     def __init__(self, random: Random) -> None:
-        """Start empty, at a time that isn't zero."""
+        """Create an empty network, at a time other than zero."""
         self.now = 1000.0
         self.states: dict[Address, FleetState] = {}
         self.occurrences: list[Occurrence] = []
         self.cut: set[tuple[Address, Address]] = set()
         self.paused: set[Address] = set()
-        self.weather = Weather(random)
-        self.letters: list[Letter] = []
+        self.faults = NetworkFaults(random)
+        self.in_flight: list[InFlightMessage] = []
         self.storms = 0
-        self.carried = 0
+        self.delivered = 0
         self.carried_bytes = 0
 
     def add(self, settings: FleetSettings) -> FleetState:
-        """Add a node, or start it again when it was there before."""
+        """Add a node, or restart it if it exists."""
         state = FleetState(settings, MemoryStore())
         self.states[settings.link] = state
         self.paused.discard(settings.link)
         return state
 
     def restart(self, address: Address) -> FleetState:
-        """Start a node again, as a new life with nothing in memory."""
+        """Restart a node as a new incarnation with an empty state."""
         settings = self.states[address].core.settings
         return self.add(replace(settings, incarnation=int(self.now * 1000)))
 
     def remove(self, address: Address) -> None:
-        """Take a node away without a word."""
+        """Remove a node without a goodbye."""
         self.states.pop(address)
 
     def run(self, seconds: float) -> None:
@@ -108,11 +110,15 @@
             self.now += TICK
             for address, state in tuple(self.states.items()):
                 if address not in self.paused:
-                    self.post(address, state.take(self.now, Ticked()))
+                    self.send_effects(
+                        address, state.handle_event(self.now, Ticked())
+                    )
             self._deliver()
 
-    def post(self, sender: Address, effects: tuple[Effect, ...]) -> None:
-        """Send off what a state asks for."""
+    def send_effects(
+        self, sender: Address, effects: tuple[Effect, ...]
+    ) -> None:
+        """Send the messages and record the events of a state's effects."""
         codec = Codec(self.states[sender].core.settings)
         own = self.states[sender].core.own
         for effect in effects:
@@ -120,57 +126,57 @@
                 self.occurrences.append(effect.occurrence)
             if isinstance(effect, SendTo):
                 sealed = codec.seal(effect.message, own.incarnation)
-                self._put(Letter(sender, effect.peer, sealed))
+                self._enqueue(InFlightMessage(sender, effect.peer, sealed))
 
-    def _put(self, letter: Letter) -> None:
-        weather = self.weather
-        if (letter.sender, letter.receiver) in self.cut:
+    def _enqueue(self, message: InFlightMessage) -> None:
+        faults = self.faults
+        if (message.sender, message.receiver) in self.cut:
             return
-        if weather.random.random() < weather.lost:
+        if faults.random.random() < faults.loss:
             return
-        self.letters.append(letter)
-        if weather.random.random() < weather.doubled:
-            self.letters.append(letter)
+        self.in_flight.append(message)
+        if faults.random.random() < faults.duplication:
+            self.in_flight.append(message)
 
     def _deliver(self) -> None:
-        """Deliver all, and what that calls forth unless it is stepwise."""
-        waiting: list[Letter] = []
-        limit = len(self.states) ** 2 * STORM
-        if self.weather.stepwise:
-            limit = len(self.letters)
+        """Deliver all messages, and their answers too unless stepwise."""
+        waiting: list[InFlightMessage] = []
+        limit = len(self.states) ** 2 * STORM_FACTOR
+        if self.faults.stepwise:
+            limit = len(self.in_flight)
         for _ in range(limit):
-            if not self.letters:
+            if not self.in_flight:
                 break
-            letter = self.letters.pop(self._next_index())
-            if self._is_held(letter):
-                waiting.append(letter)
-            elif letter.receiver in self.states:
-                self._hand_over(letter)
-        waiting.extend(self._take_left())
-        self.letters = waiting[-QUEUE_LIMIT * len(self.states) :]
-
-    def _take_left(self) -> list[Letter]:
-        """Return what is for the next step; without steps it is a storm."""
-        if self.weather.stepwise:
-            return self.letters
-        self.storms += bool(self.letters)
+            message = self.in_flight.pop(self._next_index())
+            if self._is_delayed(message):
+                waiting.append(message)
+            elif message.receiver in self.states:
+                self._deliver_message(message)
+        waiting.extend(self._take_remaining())
+        self.in_flight = waiting[-QUEUE_LIMIT * len(self.states) :]
+
+    def _take_remaining(self) -> list[InFlightMessage]:
+        """Return messages left for the next step; unless stepwise, a storm."""
+        if self.faults.stepwise:
+            return self.in_flight
+        self.storms += bool(self.in_flight)
         return []
 
-    def _is_held(self, letter: Letter) -> bool:
-        if letter.receiver in self.paused:
+    def _is_delayed(self, message: InFlightMessage) -> bool:
+        if message.receiver in self.paused:
             return True
-        weather = self.weather
-        return bool(weather.late) and weather.random.random() < weather.late
+        faults = self.faults
+        return bool(faults.delay) and faults.random.random() < faults.delay
 
     def _next_index(self) -> int:
-        if self.weather.shuffled:
-            return self.weather.random.randrange(len(self.letters))
+        if self.faults.shuffled:
+            return self.faults.random.randrange(len(self.in_flight))
         return 0
 
-    def _hand_over(self, letter: Letter) -> None:
-        state = self.states[letter.receiver]
-        self.carried += 1
-        self.carried_bytes += len(letter.sealed)
-        opened = Codec(state.core.settings).open(letter.sealed)
+    def _deliver_message(self, message: InFlightMessage) -> None:
+        state = self.states[message.receiver]
+        self.delivered += 1
+        self.carried_bytes += len(message.sealed)
+        opened = Codec(state.core.settings).open(message.sealed)
         event = opened.ok if opened.is_ok() else Refused(opened.error)
-        self.post(letter.receiver, state.take(self.now, event))
+        self.send_effects(message.receiver, state.handle_event(self.now, event))
--- a/hillfield/fleet/peering/selection.py
+++ b/hillfield/fleet/peering/selection.py
@@ -1,9 +1,9 @@
-"""Choose whom a node links to.
+"""Choose the peers to which a node opens links.
 
-Each node dials the next in the ring of its own failure domain, which holds
-the domain together, one in another failure domain and one in another region;
-rendezvous hashing picks those, so that the choice differs from node to node
-and a change of membership moves few links.
+Each node dials its successor in the ring of its failure domain, which keeps
+the domain connected, one node in another failure domain and one in another
+region. The latter two are picked by rendezvous hashing, so that the choice
+differs from node to node and a change of membership moves few links.
 """
 
 from collections.abc import Iterable
@@ -12,19 +12,19 @@
 from msgspec import Struct
 
 from hillfield.fleet.records import NodeRecord
-from hillfield.fleet.replication.summary import hash_of
+from hillfield.fleet.replication.summary import hash_text
 
 
-class Circle(Struct, frozen=True):
-    """Hold the node that chooses and all that it may choose from."""
+class PeerCandidates(Struct, frozen=True):
+    """Hold the choosing node, its possible peers and how many to choose."""
 
-    chooser: NodeRecord
+    own: NodeRecord
     others: tuple[NodeRecord, ...]
     count: int
 
 
-def choose(circle: Circle) -> tuple[NodeRecord, ...]:
-    """Return the nodes to link to, the most needed first."""
+def choose_peers(circle: PeerCandidates) -> tuple[NodeRecord, ...]:
+    """Return the chosen peers, the most important first."""
     chosen: dict[str, NodeRecord] = {}
     for group in (
         _next_in_ring(circle),
@@ -42,10 +42,10 @@
 
 
 def rank_names(own_name: str, names: Iterable[str]) -> tuple[str, ...]:
-    """Return the names of a node's own failure domain, its likely peers first.
+    """Return the names of a node's failure domain in the order of choice.
 
-    They are in the order in which it would choose them if all were alive, so
-    that the links of a node that starts are those that it keeps.
+    It is the order that holds if all of them are alive, so that a node that
+    starts keeps its first links.
 
     >>> rank_names('b', ('c', 'a')) in (('a', 'c'), ('c', 'a'))
     True
@@ -56,31 +56,31 @@
 
 
 def _follow_ring(own_name: str, names: Iterable[str]) -> list[str]:
-    """Return the name that comes after a node's own in the ring, if any."""
-    here = hash_of(own_name)
-    ring = sorted(names, key=hash_of)
-    after = [name for name in ring if hash_of(name) > here]
+    """Return the name that follows a node's own in the ring, if any."""
+    here = hash_text(own_name)
+    ring = sorted(names, key=hash_text)
+    after = [name for name in ring if hash_text(name) > here]
     return after[:1] or ring[:1]
 
 
 def _weigh(own_name: str, name: str) -> int:
-    """Return how late a node chooses another by rendezvous hashing."""
-    return hash_of(f'{own_name}>{name}')
+    """Return the rendezvous hash of two nodes; the lowest is chosen first."""
+    return hash_text(f'{own_name}>{name}')
 
 
-def _next_in_ring(circle: Circle) -> list[NodeRecord]:
-    home = circle.chooser.locality
+def _next_in_ring(circle: PeerCandidates) -> list[NodeRecord]:
+    home = circle.own.locality
     near = {
         record.name: record
         for record in circle.others
         if record.locality.region == home.region
         and record.locality.failure_domain == home.failure_domain
     }
-    return [near[name] for name in _follow_ring(circle.chooser.name, near)]
+    return [near[name] for name in _follow_ring(circle.own.name, near)]
 
 
-def _other_domains(circle: Circle) -> list[NodeRecord]:
-    home = circle.chooser.locality
+def _other_domains(circle: PeerCandidates) -> list[NodeRecord]:
+    home = circle.own.locality
     return [
         record
         for record in circle.others
@@ -89,8 +89,8 @@
     ]
 
 
-def _other_regions(circle: Circle) -> list[NodeRecord]:
-    home = circle.chooser.locality
+def _other_regions(circle: PeerCandidates) -> list[NodeRecord]:
+    home = circle.own.locality
     return [
         record
         for record in circle.others
@@ -99,10 +99,10 @@
 
 
 def _ranked(
-    circle: Circle,
+    circle: PeerCandidates,
     records: Iterable[NodeRecord],
 ) -> list[NodeRecord]:
-    own_name = circle.chooser.name
+    own_name = circle.own.name
     return sorted(
         records,
         key=lambda record: _weigh(own_name, record.name),
--- a/hillfield/fleet/publishing.py
+++ b/hillfield/fleet/publishing.py
@@ -8,34 +8,38 @@
 from hillfield.detection.evidence import Evidence
 from hillfield.fleet.core import Core
 from hillfield.fleet.records import Kind
-from hillfield.fleet.statements import publish
+from hillfield.fleet.state_updates import publish
 from hillfield.model import Target
 
+# Pieces of evidence that one node publishes.
 EVIDENCE_LIMIT: Final = 32
-EVIDENCE_AGAIN: Final = 1.0
+# Seconds between two publications of evidence.
+EVIDENCE_INTERVAL: Final = 1.0
 
 
 class Publisher:
-    """Hold what is to be published until it may be."""
+    """Hold targets and evidence until they may be published."""
 
     def __init__(self, core: Core) -> None:
-        """Publish by a core's book and links."""
+        """Publish to a core's state table and links."""
         self._core = core
         self._targets: tuple[Target, ...] | None = None
         self._evidence: tuple[Evidence, ...] = ()
-        self._said: tuple[Evidence, ...] = ()
-        self._said_at = -inf
+        self._published: tuple[Evidence, ...] = ()
+        self._published_at = -inf
 
-    def take_targets(self, now: float, targets: tuple[Target, ...]) -> None:
-        """Publish these targets, at once or when the start has settled."""
+    def update_targets(self, now: float, targets: tuple[Target, ...]) -> None:
+        """Publish these targets, once the node has run for `settle` seconds."""
         self._targets = tuple(
             replace(target, load=None)
             for target in sorted(targets, key=lambda target: target.id)
         )
         self.publish_due(now)
 
-    def take_evidence(self, now: float, evidence: tuple[Evidence, ...]) -> None:
-        """Publish this evidence, the most telling pieces if it is long."""
+    def update_evidence(
+        self, now: float, evidence: tuple[Evidence, ...]
+    ) -> None:
+        """Publish this evidence; of many pieces those with most failures."""
         worst = sorted(evidence, key=lambda piece: -piece.failures)
         self._evidence = tuple(worst[:EVIDENCE_LIMIT])
         self.publish_due(now)
@@ -43,11 +47,11 @@
     def publish_due(self, now: float) -> None:
         """Publish what is due."""
         settings = self._core.settings
-        if now - self._core.clock.started >= settings.settle:
+        if now - self._core.times.started >= settings.settle:
             self._publish_targets(now)
-        if now - self._said_at >= EVIDENCE_AGAIN:
-            fading = now - self._said_at >= settings.evidence_life / 2
-            if self._evidence != self._said or (self._evidence and fading):
+        if now - self._published_at >= EVIDENCE_INTERVAL:
+            aging = now - self._published_at >= settings.evidence_life / 2
+            if self._evidence != self._published or (self._evidence and aging):
                 self._publish_evidence(now)
 
     def _publish_targets(self, now: float) -> None:
@@ -65,11 +69,11 @@
             publish(core, now, Kind.TARGETS, payload)
 
     def _publish_evidence(self, now: float) -> None:
-        self._said = self._evidence
-        self._said_at = now
+        self._published = self._evidence
+        self._published_at = now
         publish(
             self._core,
             now,
             Kind.EVIDENCE,
-            self._core.codec.encode_evidence(self._said),
+            self._core.codec.encode_evidence(self._published),
         )
--- a/hillfield/fleet/readiness.py
+++ b/hillfield/fleet/readiness.py
@@ -1,4 +1,4 @@
-"""Judge whether this node's configuration is new enough to serve by."""
+"""Decide whether this node's configuration is current enough to serve."""
 
 from typing import Final
 
@@ -9,16 +9,18 @@
 from hillfield.fleet.peering.link_table import Link
 from hillfield.fleet.records import NodeState
 
-ENOUGH: Final = 2
-WAIT_REPORTED: Final = 10.0
+# Neighbours, and failure domains of theirs, that must hold the same entries.
+SYNCED_PEERS_NEEDED: Final = 2
+# Seconds between two reports of what the node waits for.
+WAIT_REPORT_INTERVAL: Final = 10.0
 
 
-def judge_readiness(core: Core, now: float) -> None:
-    """Become ready when two ready neighbours hold just what we hold.
+def update_readiness(core: Core, now: float) -> None:
+    """Become ready when two ready neighbours hold the same entries.
 
-    They must be of two failure domains where there are ready neighbours of
-    two: a neighbour that lags is then seen by its difference from the other,
-    and the newer entries of both are taken.
+    They must be of two failure domains if there are ready neighbours in two.
+    A neighbour that lags behind then differs from the other one, and the
+    newer entries of both are pulled.
     """
     if core.own.ready:
         return
@@ -27,44 +29,46 @@
         core.own.record = replace(core.own.record, state=NodeState.SERVING)
         core.report(EventCode.CONFIGURATION_READY)
         return
-    if now - core.clock.waited >= WAIT_REPORTED:
-        core.clock.waited = now
+    if now - core.times.wait_reported >= WAIT_REPORT_INTERVAL:
+        core.times.wait_reported = now
         _report_waiting(core)
 
 
 def waiting_for(core: Core) -> str:
-    """Say in words what keeps this node from being ready; empty: nothing."""
+    """Describe what keeps this node from being ready; empty if it is."""
     if core.own.ready:
         return ''
-    heard = core.heard_links()
-    if not heard:
+    reachable = core.heard_links()
+    if not reachable:
         known = len(core.addresses)
         return (
             f'a live peer: none of {known} known addresses answers,'
             ' and no relay entry has been read from the store'
         )
-    peers = len(heard)
-    if not any(link.ready for link in heard):
+    peers = len(reachable)
+    if not any(link.ready for link in reachable):
         return (
-            f'a peer with configuration: none of {peers} heard has it;'
+            f'a peer with configuration: none of {peers} reachable has it;'
             ' a relay must read it from the store'
         )
-    lacking = core.ledger.lacking
+    missing = core.ledger.missing_count
     return (
         'the configuration to be the same as that of two neighbours;'
-        f' {lacking} entries are on their way'
+        f' {missing} entries are missing'
     )
 
 
 def _is_compared(core: Core, now: float) -> bool:
     ready = [link for link in core.heard_links() if link.ready]
     synced = [link for link in ready if link.synced]
-    if not synced or core.ledger.lacking:
+    if not synced or core.ledger.missing_count:
         return False
-    if len(ready) < ENOUGH:
-        return now - core.clock.started >= core.settings.settle
-    domains = min(ENOUGH, len(_domains(ready)))
-    return len(synced) >= ENOUGH and len(_domains(synced)) >= domains
+    if len(ready) < SYNCED_PEERS_NEEDED:
+        return now - core.times.started >= core.settings.settle
+    domains = min(SYNCED_PEERS_NEEDED, len(_domains(ready)))
+    return (
+        len(synced) >= SYNCED_PEERS_NEEDED and len(_domains(synced)) >= domains
+    )
 
 
 def _domains(links: list[Link]) -> set[str]:
--- a/hillfield/fleet/tests/test_dear_links.py
+++ b/hillfield/fleet/tests/test_cross_domain_links.py
@@ -1,4 +1,4 @@
-"""Links between failure domains whose bytes are dear."""
+"""Links between failure domains, over which bytes cost much."""
 
 from random import Random
 
@@ -8,7 +8,9 @@
 from hillfield.fleet.envelope import Codec
 from hillfield.fleet.mesh import Mesh
 from hillfield.fleet.messages import Entries, Statements, Version, Want
-from hillfield.fleet.replication.entry_spreading import DEAR_WAIT
+from hillfield.fleet.replication.entry_dissemination import (
+    CROSS_DOMAIN_PULL_DELAY,
+)
 from hillfield.fleet.settings import FleetSettings
 from hillfield.model import Address, Locality, Target, TargetId
 
@@ -27,13 +29,13 @@
     def count(self, kind):
         return sum(isinstance(message, kind) for message in self.crossed)
 
-    def _hand_over(self, letter):
-        sender = self.states.get(letter.sender)
-        receiver = self.states[letter.receiver]
-        opened = Codec(receiver.core.settings).open(letter.sealed)
+    def _deliver_message(self, in_flight):
+        sender = self.states.get(in_flight.sender)
+        receiver = self.states[in_flight.receiver]
+        opened = Codec(receiver.core.settings).open(in_flight.sealed)
         if sender is None or domain_of(sender) != domain_of(receiver):
             self.crossed.append(opened.ok.message)
-        super()._hand_over(letter)
+        super()._deliver_message(in_flight)
 
 
 def domain_of(state):
@@ -92,15 +94,15 @@
     state.dial(mesh.now, settings_of(domain, 0).link)
     number = int(settings.name[1:])
     if number < HOLDERS:
-        state.hold_slot(f'{domain}/{number}')
-        for far in DOMAINS:
-            if far != domain:
-                state.dial(mesh.now, settings_of(far, number).link)
+        state.set_relay_slot(f'{domain}/{number}')
+        for remote in DOMAINS:
+            if remote != domain:
+                state.dial(mesh.now, settings_of(remote, number).link)
 
 
 def revisions_of(mesh):
-    ledgers = (state.core.ledger for state in mesh.states.values())
-    return {ledger.revision_of('/k') for ledger in ledgers}
+    entry_indexes = (state.core.ledger for state in mesh.states.values())
+    return {entry_index.revision_of('/k') for entry_index in entry_indexes}
 
 
 def seen_by(mesh, settings):
@@ -113,25 +115,25 @@
     assert all(seen_by(mesh, settings) == wanted for settings in ALL)
 
 
-def test_each_domain_tells_the_others_its_own_news_once_a_holder(mesh):
+def test_each_slot_holder_sends_only_updates_of_its_domain_and_once(mesh):
     changed = ALL[3]
     mesh.states[changed.link].publish_targets(
         mesh.now,
         (target_of(changed, 2),),
     )
     mesh.run(2)
-    told = [
-        statement
+    sent = [
+        update
         for message in mesh.crossed
         if isinstance(message, Statements)
-        for statement in message.statements
+        for update in message.updates
     ]
-    assert {statement.name for statement in told} == {changed.name}
-    assert len(told) <= HOLDERS * 2 * (len(DOMAINS) - 1)
+    assert {update.name for update in sent} == {changed.name}
+    assert len(sent) <= HOLDERS * 2 * (len(DOMAINS) - 1)
     assert target_of(changed, 2).id in seen_by(mesh, ALL[-1])
 
 
-def test_news_reaches_a_domain_whose_link_to_its_home_is_cut(mesh):
+def test_updates_reach_a_domain_whose_direct_links_are_cut(mesh):
     for first in ALL[:NODES]:
         for last in ALL[-NODES:]:
             mesh.cut.add((first.link, last.link))
@@ -145,7 +147,7 @@
     assert target_of(changed, 2).id in seen_by(mesh, ALL[-1])
 
 
-def test_entries_that_each_domain_reads_itself_do_not_cross(mesh):
+def test_entries_that_each_domain_reads_from_the_store_do_not_cross(mesh):
     for state in mesh.states.values():
         if state.core.own.record.relay_of:
             state.submit(Entry('/k', 7, b'routes'))
@@ -155,19 +157,21 @@
     assert revisions_of(mesh) == {7}
 
 
-def test_an_entry_that_a_domain_cannot_read_itself_comes_across_soon(mesh):
+def test_an_entry_that_a_domain_cannot_read_itself_crosses_soon(mesh):
     first = mesh.states[ALL[0].link]
     first.submit(Entry('/k', 7, b'routes'))
     mesh.run(1)
     assert revisions_of(mesh) == {7}
 
 
-def test_an_offer_of_the_own_domain_is_taken_up_at_once(mesh):
-    ledger = mesh.states[ALL[0].link].core.ledger
-    near = ALL[1].link
-    far = ALL[-1].link
-    ledger.note_offer(far, Version('/k', 0, 7), mesh.now + DEAR_WAIT)
-    assert not ledger.due(mesh.now, (near, far))
-    ledger.note_offer(near, Version('/k', 0, 7))
-    pulled = ledger.due(mesh.now, (near, far))
-    assert [missing.peer for missing in pulled] == [near]
+def test_an_entry_offered_in_the_own_domain_is_pulled_at_once(mesh):
+    entry_index = mesh.states[ALL[0].link].core.ledger
+    local = ALL[1].link
+    remote = ALL[-1].link
+    entry_index.record_offer(
+        remote, Version('/k', 0, 7), mesh.now + CROSS_DOMAIN_PULL_DELAY
+    )
+    assert not entry_index.select_pulls(mesh.now, (local, remote))
+    entry_index.record_offer(local, Version('/k', 0, 7))
+    pulled = entry_index.select_pulls(mesh.now, (local, remote))
+    assert [missing.peer for missing in pulled] == [local]
--- a/hillfield/fleet/traffic.py
+++ b/hillfield/fleet/traffic.py
@@ -1,6 +1,7 @@
 """Measure the bytes that one change costs each node of a small fleet.
 
-All messages are sealed and counted; the fleet is of states in one process.
+All messages are encoded and counted; the fleet consists of states in one
+process.
 """
 
 from random import Random
@@ -16,18 +17,19 @@
 from hillfield.fleet.state import FleetState
 from hillfield.model import Address
 
-SETTLED: Final = 60.0
-WATCHED: Final = 20.0
+SETTLE_SECONDS: Final = 60.0
+OBSERVED_SECONDS: Final = 20.0
 SEED: Final = 5
 ENTRY_SIZE: Final = 4096
 TARGETS_A_NODE: Final = 13
 
 
 class Traffic(Struct, frozen=True):
-    """Hold bytes received: a second when quiet, and on top by a change.
+    """Hold the bytes received per node.
 
-    All are per node. `restart` counts a node that is gone and back within
-    20 s, `loss` one that stays away, `entry` a changed entry of 4 KB.
+    `quiet` is the rate per second without changes, the others the bytes on
+    top of that in 20 s: `restart` of a restarted node, `loss` of one that
+    stays away, `entry` of a changed entry of 4 KB.
     """
 
     nodes: int
@@ -38,7 +40,7 @@
 
 
 def measure_traffic(nodes: int) -> Traffic:
-    """Measure a fleet of so many states."""
+    """Measure a fleet of this number of states."""
     mesh = start_mesh(nodes)
     quiet = _watch(mesh)
     addresses = tuple(mesh.states)
@@ -52,7 +54,7 @@
     loss = _watch(mesh) - quiet
     return Traffic(
         nodes=nodes,
-        quiet=quiet / nodes / WATCHED,
+        quiet=quiet / nodes / OBSERVED_SECONDS,
         restart=restart / nodes,
         loss=loss / nodes,
         entry=entry / nodes,
@@ -60,7 +62,7 @@
 
 
 def start_mesh(nodes: int) -> Mesh:
-    """Return a settled fleet of so many states, with targets and an entry."""
+    """Return a settled fleet with targets and one configuration entry."""
     mesh = Mesh(Random(SEED))
     seeds = tuple(settings_of(number).link for number in range(3))
     for number in range(nodes):
@@ -68,23 +70,23 @@
         _announce(mesh, settings.link, mesh.add(settings))
     first = mesh.states[seeds[0]]
     first.submit(Entry('/k', 1, bytes(ENTRY_SIZE)))
-    first.note_loaded()
-    mesh.run(SETTLED)
+    first.mark_loaded()
+    mesh.run(SETTLE_SECONDS)
     return mesh
 
 
 def _announce(mesh: Mesh, address: Address, state: FleetState) -> None:
     codec = RecordCodec()
     number = address.port - settings_of(0).link.port
-    statement = targets_statement(codec, number, TARGETS_A_NODE)
+    update = targets_statement(codec, number, TARGETS_A_NODE)
     home = state.core.settings.locality
     state.publish_targets(
         mesh.now,
-        codec.decode_targets(home, statement.payload),
+        codec.decode_targets(home, update.payload),
     )
 
 
 def _watch(mesh: Mesh) -> int:
     before = mesh.carried_bytes
-    mesh.run(WATCHED)
+    mesh.run(OBSERVED_SECONDS)
     return mesh.carried_bytes - before
