--- a/hillfield/gate/__init__.py
+++ b/hillfield/gate/__init__.py
@@ -1,4 +1,4 @@
-"""The gate: what the node beside a target decides for it."""
+"""The gate: admission of the fleet's requests to the target of this host."""
 
 from hillfield.gate.gate import Gate
 from hillfield.gate.hop import HopDialect, HopOrder
--- a/hillfield/gate/admission.py
+++ b/hillfield/gate/admission.py
@@ -1,4 +1,4 @@
-"""Decide which requests go to the target, which wait, which are refused."""
+"""Decide which requests are sent to the target, wait, or are refused."""
 
 from typing import Final
 
@@ -19,11 +19,11 @@
 from hillfield.routing.refusals import Cause
 from hillfield.routing.requests import Arrival, Verdict, Wait
 
-# Seconds after which a refused request may come back.
+# Seconds after which a refused request may be tried here again.
 COME_BACK: Final = 0.05
 
 
-def _describe(
+def _build_cause(
     detail: str,
     event: EventCode = EventCode.TARGET_DECLINED,
 ) -> Cause:
@@ -35,59 +35,59 @@
     )
 
 
-LEFT: Final = _describe('the target has left')
-SHUNNED: Final = _describe(
-    'the target is shunned',
+LEFT: Final = _build_cause('the target has left')
+SHUNNED: Final = _build_cause(
+    'the target is quarantined',
     EventCode.TARGET_HELD_BACK,
 )
-DOUBTED: Final = _describe('the target is suspected')
-FULL: Final = _describe('all slots are taken')
-LATE: Final = _describe('no slot was free in time')
-LIMITED: Final = _describe('the target takes', EventCode.TARGET_LIMITED)
-OUTRANKED: Final = _describe('others go first')
+DOUBTED: Final = _build_cause('the target is suspected')
+FULL: Final = _build_cause('all slots are taken')
+LATE: Final = _build_cause('no slot was free in time')
+LIMITED: Final = _build_cause('the target takes', EventCode.TARGET_LIMITED)
+OUTRANKED: Final = _build_cause('others go first')
 
 
 def admit(state: GateState, now: float, arrival: Arrival) -> Verdict:
-    """Send a request, let it wait, or refuse it: then it has not run."""
+    """Send a request, queue it, or refuse it: then it has not run."""
     record = state.ledger.open(arrival)
     target = state.target
     if target is None:
         return state.refuse(record, LEFT)
-    cause = _find_doubt(state, now, record)
+    cause = _find_refusal(state, now, record)
     if cause is not None:
         return state.refuse(record, cause)
     if not len(state.queue) and count_room(state, now, target):
         return state.send(now, record, target)
-    return _wait(state, now, record, target)
+    return _enqueue(state, now, record, target)
 
 
 def serve_queue(state: GateState, now: float) -> tuple[Verdict, ...]:
-    """Send what has found a slot; refuse what has waited in vain."""
+    """Send the waiting requests that have a slot; refuse the expired ones."""
     target = state.target
     if target is None:
         waiting = state.queue.take_all()
         left = tuple(state.refuse(record, LEFT) for record in waiting)
         return (*state.take_declined(), *left)
-    verdicts: list[Verdict] = [
-        state.refuse(place.record, _explain_late(now, place))
-        for place in state.queue.take_late(now)
+    decisions: list[Verdict] = [
+        state.refuse(queued.record, _describe_expiry(now, queued))
+        for queued in state.queue.take_late(now)
     ]
     while len(state.queue) and count_room(state, now, target):
         record = state.queue.pop(state.shares.read(now))
-        verdicts.append(_serve(state, now, record, target))
-    return (*state.take_declined(), *verdicts)
+        decisions.append(_serve(state, now, record, target))
+    return (*state.take_declined(), *decisions)
 
 
-def _explain_late(now: float, place: Place) -> Cause:
-    waited = describe_wait(now, place)
-    return replace(LATE, detail=f'{LATE.detail}, {waited}')
+def _describe_expiry(now: float, queued: Place) -> Cause:
+    wait_text = describe_wait(now, queued)
+    return replace(LATE, detail=f'{LATE.detail}, {wait_text}')
 
 
-def _explain_full(state: GateState, now: float, wait: float) -> Cause:
-    """Say whether slots or the target's own limit leave no room."""
+def _describe_full(state: GateState, now: float, wait: float) -> Cause:
+    """Say whether the slots or the target's rate limit allow no request."""
     rate = state.limit.rate
-    turn = state.limit.find_wait(now, len(state.queue))
-    if rate is None or turn < wait:
+    limit_wait = state.limit.find_wait(now, len(state.queue))
+    if rate is None or limit_wait < wait:
         return replace(FULL, retry_after=wait)
     state.limit.declined += 1
     detail = f'{LIMITED.detail} {show_rate(rate)}'
@@ -100,18 +100,18 @@
     record: RequestRecord,
     target: Target,
 ) -> Verdict:
-    cause = _find_doubt(state, now, record)
+    cause = _find_refusal(state, now, record)
     if cause is None:
         return state.send(now, record, target)
     return state.refuse(record, cause)
 
 
-def _find_doubt(
+def _find_refusal(
     state: GateState,
     now: float,
     record: RequestRecord,
 ) -> Cause | None:
-    """Return why the target should not get the request now, if so."""
+    """Return why the request should not be sent to the target, or None."""
     plan = record.arrival.plan
     if not state.standing.admits(now, plan):
         return SHUNNED
@@ -120,61 +120,62 @@
     return DOUBTED if weigh_running(state, now) > DOUBT_SCORE else None
 
 
-def _wait(
+def _enqueue(
     state: GateState,
     now: float,
     record: RequestRecord,
     target: Target,
 ) -> Verdict:
-    rank, wait = _rank(state, now, record, target)
-    bound = find_bound(now, record, rank.cost)
-    if wait > bound:
-        return state.refuse(record, _explain_full(state, now, wait))
+    rank, wait = _compute_rank(state, now, record, target)
+    wait_limit = find_bound(now, record, rank.cost)
+    if wait > wait_limit:
+        return state.refuse(record, _describe_full(state, now, wait))
     record.follow(RequestTrigger.QUEUE)
     record.queued_at = now
-    state.queue.push(record, rank, now + bound)
-    _make_way(state, now, target)
+    state.queue.push(record, rank, now + wait_limit)
+    _displace_last(state, now, target)
     return Wait(record.arrival.request)
 
 
-def _make_way(state: GateState, now: float, target: Target) -> None:
-    """Decline the last in rank if its turn now comes too late.
+def _displace_last(state: GateState, now: float, target: Target) -> None:
+    """Decline the last request in order if it would now wait too long.
 
-    Told at once, its caller's node has time for another target.
+    It is declined at once, so that the node of its caller still has time to
+    choose another target.
     """
     last = state.queue.find_last(state.shares.read(now))
     if last is None:
         return
-    ahead, place = last
+    ahead, queued = last
     wait = find_wait(state, now, target, ahead)
-    if now + wait > place.until:
-        state.queue.remove(place.record)
+    if now + wait > queued.until:
+        state.queue.remove(queued.record)
         cause = replace(OUTRANKED, retry_after=wait)
-        state.declined.append(state.refuse(place.record, cause))
+        state.declined.append(state.refuse(queued.record, cause))
 
 
-def _rank(
+def _compute_rank(
     state: GateState,
     now: float,
     record: RequestRecord,
     target: Target,
 ) -> tuple[Rank, float]:
-    """Return what counts for a request's turn, and the seconds until then."""
+    """Return the request's rank, and the seconds that it would wait."""
     plan = record.arrival.plan
-    parts = state.shares.read(now)
-    usual = state.durations.find(plan).find_quantile(0)
+    usage = state.shares.read(now)
+    duration = state.durations.find(plan).find_quantile(0)
     rank = Rank(
         long=not state.durations.is_quick(plan, state.latency.mean),
         priority=plan.priority,
         expires=record.arrival.expires,
         account=plan.account,
         foreign=is_foreign(plan),
-        cost=usual,
+        cost=duration,
     )
-    before = state.queue.count_ahead(rank, parts)
-    wait = find_wait(state, now, target, before)
-    if not plan.aim or plan.spent + wait + usual <= plan.aim:
+    ahead_in_time = state.queue.count_ahead(rank, usage)
+    wait = find_wait(state, now, target, ahead_in_time)
+    if not plan.aim or plan.spent + wait + duration <= plan.aim:
         return rank, wait
-    late = replace(rank, late=True)
-    ahead = state.queue.count_ahead(late, parts)
-    return late, find_wait(state, now, target, ahead)
+    late_rank = replace(rank, late=True)
+    ahead = state.queue.count_ahead(late_rank, usage)
+    return late_rank, find_wait(state, now, target, ahead)
--- a/hillfield/gate/calls.py
+++ b/hillfield/gate/calls.py
@@ -1,12 +1,13 @@
-"""Tell a target's own errors from those of calls that it made."""
+"""Tell a target's own errors from those caused by failed calls it made."""
 
 
 class FailedCalls:
-    """Remember when a caller of this host was last told of a failure.
+    """Record when requests that began on this host last failed, by service.
 
-    The target makes its calls through the node of its host, as clients there
-    do; the node can't tell the two apart. A call that failed while the target
-    worked on a request is taken for the cause of an error.
+    A target makes its calls through the node of its host, as clients on that
+    host do, and the node can't tell the two apart. A call that failed while
+    the target worked on a request is taken for the cause of that request's
+    error.
 
     >>> calls = FailedCalls()
     >>> calls.note(10.0, 'fees')
@@ -17,17 +18,17 @@
     """
 
     def __init__(self) -> None:
-        """Start without any."""
-        self._last: dict[str, float] = {}
+        """Start without failures."""
+        self._last_failures: dict[str, float] = {}
 
     def note(self, now: float, service: str) -> None:
-        """Note that a request to a service of this time has failed."""
-        self._last[service] = now
+        """Record that a request to a service has failed."""
+        self._last_failures[service] = now
 
     def excuse(self, since: float, service: str) -> bool:
-        """Tell whether a request to any other service has failed since."""
+        """Return whether a request to any other service has failed since."""
         return any(
             failed >= since
-            for called, failed in self._last.items()
-            if called != service
+            for failed_service, failed in self._last_failures.items()
+            if failed_service != service
         )
--- a/hillfield/gate/completion.py
+++ b/hillfield/gate/completion.py
@@ -22,8 +22,9 @@
 from hillfield.routing.refusals import describe_reading
 from hillfield.routing.requests import Done, Observation, TimedOut, Verdict
 
-# Ends after which a target may be found to have ended under the request; a
-# caller that leaves closes the connection, and the run may go on.
+# Triggers after which the request may turn out to be a cause of the target's
+# exit. A caller that leaves closes the connection, but the request may go on
+# running.
 WITHOUT_ANSWER: Final = frozenset(
     (
         AttemptTrigger.BROKEN,
@@ -43,32 +44,32 @@
 ) -> Verdict:
     """End an attempt and decide what the other node is told."""
     record = attempt.record
-    reading = read_observation(observation)
+    classified = read_observation(observation)
     written = attempt.phase is not AttemptPhase.CONNECTING
-    if written and reading.trigger in WITHOUT_ANSWER:
+    if written and classified.trigger in WITHOUT_ANSWER:
         state.lost.note(make_run(now, attempt))
-    action = attempt.follow(reading.trigger)
+    action = attempt.follow(classified.trigger)
     state.ledger.close(attempt)
     state.standing.end()
-    _judge_end(state, now, attempt, observation)
-    if reading.trigger is AttemptTrigger.ANSWERED:
+    _record_result(state, now, attempt, observation)
+    if classified.trigger is AttemptTrigger.ANSWERED:
         state.note_answered(now, attempt)
     if record.has_ended():
         return Done(record.arrival.request)
     if action is AttemptAction.SETTLE:
         state.ledger.end(record, RequestTrigger.SETTLE)
         return Done(record.arrival.request)
-    if reading.trigger is AttemptTrigger.GONE:
+    if classified.trigger is AttemptTrigger.GONE:
         state.ledger.end(record, RequestTrigger.LEAVE)
         return Done(record.arrival.request)
     if action in DOUBTFUL:
         record.follow(RequestTrigger.DOUBT)
     record.peer = str(attempt.target.id.address)
-    return state.refuse(record, describe_reading(reading))
+    return state.refuse(record, describe_reading(classified))
 
 
 def make_run(now: float, attempt: AttemptRecord) -> Run:
-    """Return what is remembered of an attempt that ends without an answer."""
+    """Return the run to remember for an attempt without an answer."""
     return Run(
         attempt.record.arrival.fingerprint,
         attempt.target.id,
@@ -77,13 +78,13 @@
     )
 
 
-def _learn_ages(
+def _record_age(
     state: GateState,
     now: float,
     attempt: AttemptRecord,
     observation: Observation,
 ) -> None:
-    """Learn whether a long age meant that the request would hang."""
+    """Record whether a request of long age hung or was answered."""
     answered = is_success(observation)
     if not (answered or isinstance(observation, TimedOut)):
         return
@@ -91,39 +92,40 @@
         state.ages.note(answered)
 
 
-def _judge_end(
+def _record_result(
     state: GateState,
     now: float,
     attempt: AttemptRecord,
     observation: Observation,
 ) -> None:
-    """Count what an end says of the target, and of such ages."""
-    _learn_ages(state, now, attempt, observation)
+    """Record the result of an attempt, and whether its age was misleading."""
+    _record_age(state, now, attempt, observation)
     if attempt.hung:
         if is_success(observation):
             state.clear(now, attempt)
         return
-    ending = read_ending(observation)
-    if ending is Ending.SILENT:
+    attempt_result = read_ending(observation)
+    if attempt_result is Ending.SILENT:
         count_unanswered(state, now, attempt)
-    elif _says_nothing(state, now, attempt, ending):
+    elif _is_inconclusive(state, now, attempt, attempt_result):
         return
     else:
-        state.judge(now, attempt.target, ending)
+        state.judge(now, attempt.target, attempt_result)
 
 
-def _says_nothing(
+def _is_inconclusive(
     state: GateState,
     now: float,
     attempt: AttemptRecord,
-    ending: Ending,
+    attempt_result: Ending,
 ) -> bool:
-    """Tell whether the target is neither to blame for an end nor cleared.
+    """Return whether a result is no evidence of the target's health.
 
-    Its calls may have failed, and a good answer may have come very late.
+    An error may be due to a failed call that the target made, and a good
+    answer may have come very late.
     """
-    if ending is Ending.FAILED:
+    if attempt_result is Ending.FAILED:
         service = attempt.target.id.service
         return state.calls.excuse(attempt.started, service)
     late = find_share(state, now, attempt) < LATE_SHARE
-    return ending is Ending.GOOD and late
+    return attempt_result is Ending.GOOD and late
--- a/hillfield/gate/endings.py
+++ b/hillfield/gate/endings.py
@@ -1,4 +1,4 @@
-"""What an observation says of the host's target."""
+"""Attempt results that observations of the host's target amount to."""
 
 from http import HTTPStatus
 
@@ -12,10 +12,10 @@
 
 
 def read_ending(observation: Observation) -> Ending:
-    """Return how a request ended, as far as it speaks of the target.
+    """Return the result of an attempt, as evidence of the target's health.
 
-    Too little time left says as much of the caller, so a time-out is silent;
-    a request that hangs is counted while it waits.
+    A time-out is no evidence, since the caller may have left too little time;
+    a request that hangs is recorded by its age while it waits.
 
     >>> read_ending(Answered(HTTPStatus.OK))
     <Ending.GOOD: 'good'>
@@ -28,12 +28,12 @@
         case ConnectFailed():
             return Ending.UNREACHED
         case Answered():
-            return _read_answer(observation)
+            return _classify_answer(observation)
     return Ending.SILENT
 
 
 def is_success(observation: Observation) -> bool:
-    """Tell whether the target did the whole work and answered it.
+    """Return whether the target completed the work and answered.
 
     >>> is_success(Answered(HTTPStatus.OK)), is_success(Broken(''))
     (True, False)
@@ -43,7 +43,7 @@
     return observation.status < HTTPStatus.MULTIPLE_CHOICES
 
 
-def _read_answer(answer: Answered) -> Ending:
+def _classify_answer(answer: Answered) -> Ending:
     if answer.status == HTTPStatus.GATEWAY_TIMEOUT:
         return Ending.SILENT
     if answer.wrong or answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
--- a/hillfield/gate/gate.py
+++ b/hillfield/gate/gate.py
@@ -1,8 +1,8 @@
-"""Decide for the host's target: slots, waiting, and whether it is sick.
+"""Decide for the host's target: slots, queue, and health.
 
-The gate sees every request of the fleet to its target, so it alone knows
-how many slots are free and how the last requests ended. What it refuses has
-certainly not run, since not a byte of it went to the target.
+All requests of the fleet to the target pass its gate, so only the gate knows
+how many slots are free and what the last results were. What it refuses has
+certainly not run, since no byte of it went to the target.
 """
 
 from collections.abc import Callable
@@ -32,31 +32,32 @@
 
 
 class Gate(GateSeat):
-    """Implement `Dispatching` and `Dispatchers` for the one target here."""
+    """Implement `Dispatching` and `Dispatchers` for the target of this host."""
 
     def __init__(self, journal: Journal) -> None:
-        """Start without a target; `closing` refuses all that is new.
+        """Start without a target; `closing` refuses all new requests.
 
-        `listener` is told of whatever may change the target's room.
+        `listener` is called after each event that may change the free
+        capacity.
         """
         super().__init__(GateState(journal))
         self.closing = False
-        self.listener: GateListener = _tell_nobody
+        self.listener: GateListener = _ignore
 
     @property
     def calls(self) -> FailedCalls:
-        """Return where failed requests of this host are noted."""
+        """Return the record of failed requests that began on this host."""
         return self._state.calls
 
     def for_service(self, service: str) -> 'Gate':
-        """Return this gate: it stands before one target only."""
+        """Return this gate: it serves only one target."""
         return self
 
     def admit(self, now: float, arrival: Arrival) -> Verdict:
-        """Send a request, let it wait, or refuse it: then it has not run."""
-        verdict = admit(self._state, now, arrival)
+        """Send a request, queue it, or refuse it: then it has not run."""
+        decision = admit(self._state, now, arrival)
         self.listener(now)
-        return verdict
+        return decision
 
     def finish(
         self,
@@ -65,49 +66,49 @@
         observation: Observation,
     ) -> Verdict:
         """End an attempt and decide what the other node is told."""
-        found = self._state.ledger.find(attempt)
-        if found is None:
+        attempt_record = self._state.ledger.find(attempt)
+        if attempt_record is None:
             return Done('')
-        verdict = finish(self._state, now, found, observation)
+        decision = finish(self._state, now, attempt_record, observation)
         self.listener(now)
         if isinstance(observation, Broken):
-            self.on_lost(found.target.id)
+            self.on_lost(attempt_record.target.id)
         elif is_success(observation):
-            self.on_served(found.record.arrival.fingerprint)
-        return verdict
+            self.on_served(attempt_record.record.arrival.fingerprint)
+        return decision
 
     def find_hedge_delay(self, plan: RequestPlan) -> None:
-        """Name no delay: there is one target here."""
+        """Return None: there is no other target to hedge with."""
 
     def hedge(self, now: float, request: str) -> Send | None:
-        """Send nothing: there is one target here."""
+        """Return None: there is no other target to hedge with."""
 
     def leave(self, now: float, request: str) -> None:
-        """Forget a request whose caller went away while it waited."""
+        """Drop a waiting request whose caller has left."""
         record = self._state.ledger.requests.get(request)
         if record is not None:
             self._state.queue.remove(record)
             self._state.ledger.end(record, RequestTrigger.LEAVE)
 
     def excuse(self, now: float, seconds: float) -> None:
-        """Hold no silence of the last seconds against the target."""
+        """Discount a pause of this process from the ages of the attempts."""
         self._state.ledger.excuse(now, seconds)
 
     def poll(self, now: float) -> tuple[Verdict, ...]:
-        """Return verdicts for the waiting; call after finish, in ticks."""
+        """Return decisions on waiting requests; call after finish, in ticks."""
         judge_running(self._state, now)
         tell_kept(self._state, now)
-        verdicts = serve_queue(self._state, now)
+        decisions = serve_queue(self._state, now)
         self.listener(now)
-        return verdicts
+        return decisions
 
     def next_due(self) -> float | None:
-        """Name a time gone by for what made way for others.
+        """Return a past time if displaced requests wait for a poll.
 
-        Else none: the end of an attempt or a tick moves the queue.
+        None: the queue moves only at the end of an attempt or in a tick.
         """
         return 0 if self._state.declined else None
 
 
-def _tell_nobody(now: float) -> None:
-    """Tell nobody: no one has asked yet."""
+def _ignore(now: float) -> None:
+    """Ignore the event."""
--- a/hillfield/gate/hearing.py
+++ b/hillfield/gate/hearing.py
@@ -1,4 +1,4 @@
-"""What the gate makes of what its target says of itself in an answer."""
+"""Apply what the target says about itself in an answer."""
 
 from hillfield.events import EventCode
 from hillfield.gate.limit import show_rate
@@ -14,9 +14,9 @@
     attempt: AttemptRecord,
     notice: TargetNotice,
 ) -> bool:
-    """Take the word of the life that is served; tell if it leaves.
+    """Apply a notice of the served incarnation; return whether it leaves.
 
-    What another life says does not count.
+    Notices of other incarnations are ignored.
     """
     seat = state.seat
     if seat is None or seat.target.id != attempt.target.id:
@@ -24,41 +24,41 @@
     if notice.unread:
         state.record(EventCode.TARGET_NOTICE_UNREAD, seat, notice.unread)
     before = state.limit.rate
-    heard = not notice.vague
-    if heard and state.limit.hear(now, attempt.started, notice.rate):
+    readable = not notice.vague
+    if readable and state.limit.hear(now, attempt.started, notice.rate):
         _record_limit(state, seat, before)
     if notice.leaving:
         state.record(EventCode.TARGET_SAYS_LEAVING, seat, 'in an answer')
     return notice.leaving
 
 
-def hear_told(state: GateState, now: float, told: LifeNotice) -> bool:
-    """Take what another node was told of this life; tell if it leaves."""
+def hear_told(state: GateState, now: float, notice: LifeNotice) -> bool:
+    """Apply a notice that another node received; return whether it leaves."""
     seat = state.seat
-    if seat is None or seat.life != told.life:
+    if seat is None or seat.life != notice.life:
         return False
-    if told.leaving:
+    if notice.leaving:
         detail = 'another node was told'
         state.record(EventCode.TARGET_SAYS_LEAVING, seat, detail)
         return True
     before = state.limit.rate
-    if told.rate is not None and state.limit.adopt_told(now, told.rate):
+    if notice.rate is not None and state.limit.adopt_told(now, notice.rate):
         _record_limit(state, seat, before)
     return False
 
 
 def _record_limit(state: GateState, seat: Seat, before: float | None) -> None:
-    was = '' if before is None else f'before: {show_rate(before)}'
+    before_text = '' if before is None else f'before: {show_rate(before)}'
     rate = state.limit.rate
     if rate is None:
-        state.record(EventCode.TARGET_LIMIT_ENDED, seat, was)
+        state.record(EventCode.TARGET_LIMIT_ENDED, seat, before_text)
         return
-    told = '; '.join(filter(None, (show_rate(rate), was)))
-    state.record(EventCode.TARGET_LIMIT_NAMED, seat, told)
+    limit_text = '; '.join(filter(None, (show_rate(rate), before_text)))
+    state.record(EventCode.TARGET_LIMIT_NAMED, seat, limit_text)
 
 
 def tell_kept(state: GateState, now: float) -> None:
-    """Tell now and then what has become of requests by the limit."""
-    told = state.limit.tell(now)
-    if told and state.seat is not None:
-        state.record(EventCode.TARGET_LIMIT_KEPT, state.seat, told)
+    """Record periodically what the limit has let through and refused."""
+    summary = state.limit.tell(now)
+    if summary and state.seat is not None:
+        state.record(EventCode.TARGET_LIMIT_KEPT, state.seat, summary)
--- a/hillfield/gate/hop.py
+++ b/hillfield/gate/hop.py
@@ -1,4 +1,4 @@
-"""What a node tells the node beside the target of a request."""
+"""The header by which a node forwards a request to the gate of its target."""
 
 from http import HTTPStatus
 from typing import Final
@@ -38,27 +38,27 @@
     TimedOut,
 )
 
-# Header fields carry bytes; HTTP libraries show them in this coding.
+# Header fields are bytes, which HTTP libraries represent in this encoding.
 WIRE: Final = 'latin-1'
 STEP: Final = 'Hillfield-Step'
 EVENT: Final = 'Hillfield-Event'
 HELD_BACK: Final = str(int(EventCode.TARGET_HELD_BACK))
-# Steps that a gate takes before the first byte goes to its target.
+# Steps of a gate before the first byte goes to its target.
 BEFORE_SENDING: Final = frozenset(
     (Step.READ_REQUEST, Step.ROUTE, Step.ADMIT, Step.CONNECT),
 )
 
 
 class HopOrder(Struct, frozen=True, array_like=True):
-    """Say for which life of a target a request is, and how it is treated.
-
-    `incarnation` is that of the target, `origin` the service on whose host
-    the request began, `priority` its rank (0 goes first). `idempotent`: it
-    may run again; `trial`: a repeat is left for it, so it may try a doubtful
-    target; `urgency`: which targets it takes. `route` and `aim`, the seconds
-    in which an answer is worth most, tell how long it should take; `spent`
-    are the seconds since it was first sent, `account` is whose request it is
-    (empty: nobody's), `told` what the sender was told of the target at this
+    """Hold which incarnation a request is for, and how it is treated.
+
+    `incarnation` is that of the target, `origin` the service on whose host the
+    request began, `priority` its priority (0 goes first). `idempotent`: it may
+    run again; `trial`: it has a retry left, so it may try an unhealthy target;
+    `urgency`: which targets it accepts. `route` and `aim`, the seconds in
+    which an answer is worth most, tell how long it should take; `spent` is the
+    seconds since it was first sent, `account` its client account (empty:
+    none), `notice` what the sender has received from the target at this
     address (None: nothing).
     """
 
@@ -80,7 +80,7 @@
 
 
 def write_hop(order: HopOrder) -> str:
-    """Return the header's text.
+    """Return the header's value.
 
     >>> write_hop(HopOrder('claims', 7, 1, 'desk', True))
     '["claims",7,1,"desk",true,false,0,"",0,0,""]'
@@ -91,7 +91,7 @@
 
 
 def read_hop(text: str) -> Result[HopOrder, str]:
-    """Read the header's text; the error says what is wrong.
+    """Parse the header's value; the error says what is wrong.
 
     >>> read_hop('["claims",7,1,"desk"]').ok.incarnation
     7
@@ -105,7 +105,7 @@
 
 
 class HopDialect:
-    """Speak with the nodes beside the targets."""
+    """Exchange requests and failures with the gates of targets."""
 
     def add_fields(
         self,
@@ -114,7 +114,7 @@
         send: Send,
         remaining: float,
     ) -> None:
-        """Add the time left and what the gate must know."""
+        """Add the remaining time and the instructions for the gate."""
         fields.add(DEADLINE, show_milliseconds(remaining))
         order = HopOrder(
             send.target.service,
@@ -137,7 +137,7 @@
         status: int,
         headers: HTTPHeaders,
     ) -> Observation | None:
-        """Tell a gate's own failure from its target's answer."""
+        """Return the gate's own failure; None: its target has answered."""
         outcome = headers.get(OUTCOME)
         step = headers.get(STEP, '')
         if outcome is None:
@@ -150,7 +150,7 @@
             return Declined(
                 f'at step {step}',
                 read_retry_after(headers),
-                lasting=_lasts(step, headers),
+                lasting=_is_lasting(step, headers),
             )
         return Shed(read_retry_after(headers))
 
@@ -159,33 +159,34 @@
         target: TargetId,
         headers: HTTPHeaders,
     ) -> LoadReport | None:
-        """Read what the gate tells of its target's room."""
-        told = headers.get(ROOM)
-        return None if told is None else read_room(target, told)
+        """Read the free capacity of the target that its gate reports."""
+        field_text = headers.get(ROOM)
+        return None if field_text is None else read_room(target, field_text)
 
     def read_notice(
         self,
         status: int,
         headers: HTTPHeaders,
     ) -> None:
-        """Return nothing: the gate tells what its target says."""
+        """Return None: the gate reports the target's notices."""
 
     def is_answer_to(self, request: str, headers: HTTPHeaders) -> bool:
-        """Tell whether an answer belongs to the request of this id."""
+        """Return whether an answer belongs to the request of this id."""
         return names_request(request, headers)
 
     def note_headers(self, headers: HTTPHeaders) -> None:
-        """Look at none: the node beside the target has done so."""
+        """Ignore the headers: the gate has read them."""
 
     @property
     def sends_signs(self) -> bool:
-        """Tell that gates send interim answers of their own."""
+        """Return True: gates send interim answers of their own."""
         return True
 
 
-def _lasts(step: str, headers: HTTPHeaders) -> bool:
-    """Tell whether the gate will decline the next request as well.
+def _is_lasting(step: str, headers: HTTPHeaders) -> bool:
+    """Return whether the gate will decline the next request as well.
 
-    It holds work back from its target, or serves another life of it.
+    It does if it withholds work from its target, or serves another
+    incarnation.
     """
     return step == Step.ROUTE or headers.get(EVENT) == HELD_BACK
--- a/hillfield/gate/limit.py
+++ b/hillfield/gate/limit.py
@@ -1,30 +1,32 @@
-"""How many requests a second the host's target takes; pure.
+"""Hold the rate limit that the host's target names in its answers; pure.
 
-This answers a target in need: it names a limit in its answers, for all nodes
-together, for as long as it says so. The gate sees every request to it, so it
-holds the sum over the fleet by itself, and no message is needed.
+A target that needs relief names a limit in its answers, in requests a second
+from all nodes together, for as long as it answers so. All requests to it pass
+this gate, so the gate enforces the fleet's total without any message.
 """
 
 from typing import Final
 
 from hillfield.routing.budgets import Bucket
 
-# Seconds of the limit that may be saved up while fewer requests come: as much
-# as a request may wait here, so that a pause between two costs no turn.
+# Seconds of the limit that tokens may be saved up for while fewer requests
+# come: as much as a request may wait here, so that a gap between two requests
+# wastes no token.
 SAVED_SECONDS: Final = 0.5
-# Requests a second at least: with none at all the end of a need would never be
-# heard. One each 4 s is within what a limit of 0 leaves (users' rules).
+# Minimum rate in requests a second: with none at all, the gate would never
+# learn that the limit has ended. One each 4 s is within what a limit of 0
+# permits.
 LEAST_RATE: Final = 0.25
 SHOWN_DIGITS: Final = 3
-# Seconds between two lines of what a limit has done.
+# Seconds between two log entries on what the limit has done.
 TOLD_EVERY: Final = 4.0
 
 
 class RateLimit:
-    """Hold the limit that one life of a target names; times are seconds.
+    """Hold the limit of one incarnation of a target; times are seconds.
 
-    `rate` is None while it names none; `sent` and `declined` count what the
-    limit has let through and turned away since that was last told.
+    `rate` is None while the target names none; `sent` and `declined` count
+    requests that the limit has let through and refused since the last summary.
 
     >>> limit = RateLimit()
     >>> limit.hear(0, 0, 2.0)
@@ -37,100 +39,100 @@
     """
 
     def __init__(self) -> None:
-        """Start with no limit."""
+        """Start without a limit."""
         self.rate: float | None = None
         self.sent = 0
         self.declined = 0
-        self._told: float = 0
-        self._heard = float('-inf')
+        self._counted_since: float = 0
+        self._received_at = float('-inf')
         self._bucket = Bucket(1, 0)
-        self._filled: float = 0
+        self._refilled_at: float = 0
 
     def hear(self, now: float, began: float, rate: float | None) -> bool:
-        """Take an answer's word; tell whether the limit has changed.
+        """Apply the limit of an answer; return whether the limit has changed.
 
-        `began` is when the answer's request was sent: answers overlap, so
-        what allows more counts only if it is newer for sure than what it
-        replaces; what allows less counts at once.
+        `began` is when the answer's request was sent. Answers overlap, so a
+        higher limit is applied only if its request began after the limit in
+        force was received; a lower one is applied at once.
         """
-        if _allows_more(rate, self.rate) and began < self._heard:
+        if _allows_more(rate, self.rate) and began < self._received_at:
             return False
-        self._heard = now
-        return self._adopt(now, rate, turns=0)
+        self._received_at = now
+        return self._adopt(now, rate, tokens=0)
 
     def adopt_told(self, now: float, rate: float) -> bool:
-        """Take what another node was told; tell whether it limits more.
+        """Apply a limit that another node received; return if it was adopted.
 
-        That may be old, so it counts only until the target has said anything
-        itself: one request is let through at once, to hear that.
+        It may be old, so it applies only until the target itself has answered:
+        one request is let through at once to get that answer.
         """
-        if self._heard > float('-inf') or _allows_more(rate, self.rate):
+        if self._received_at > float('-inf') or _allows_more(rate, self.rate):
             return False
-        return self._adopt(now, max(0, rate), turns=1)
+        return self._adopt(now, max(0, rate), tokens=1)
 
     def take(self, now: float) -> None:
-        """Count a request that is let through."""
+        """Consume a token for a request that is sent."""
         if self.rate is None:
             return
-        self._pass_time(now)
+        self._refill(now)
         self.sent += 1
         self._bucket.take()
 
     def count_turns(self, now: float) -> int | None:
-        """Return how many more it lets through at once; None: no limit."""
+        """Return how many requests may be sent at once; None: no limit."""
         if self.rate is None:
             return None
-        self._pass_time(now)
+        self._refill(now)
         return int(self._bucket.tokens)
 
     def find_wait(self, now: float, ahead: int) -> float:
-        """Return the seconds until one is let through, after so many."""
+        """Return the seconds until a request behind `ahead` others is sent."""
         if self.rate is None:
             return 0
-        self._pass_time(now)
+        self._refill(now)
         missing = ahead + 1 - self._bucket.tokens
-        return max(0, missing / self._find_pace())
+        return max(0, missing / self._compute_rate())
 
     def tell(self, now: float) -> str:
-        """Return what it has done lately; nothing while that is too new."""
-        seconds = now - self._told
+        """Return a summary of the limit's effect; empty: none is due."""
+        seconds = now - self._counted_since
         if self.rate is None or seconds < TOLD_EVERY:
             return ''
         counts = f'{self.sent} sent, {self.declined} declined'
-        told = f'{show_rate(self.rate)}: {counts} in {seconds:.1f} s'
+        summary = f'{show_rate(self.rate)}: {counts} in {seconds:.1f} s'
         idle = not (self.sent or self.declined)
-        self._begin_counting(now)
-        return '' if idle else told
+        self._reset_counts(now)
+        return '' if idle else summary
 
-    def _begin_counting(self, now: float) -> None:
-        self._told = now
+    def _reset_counts(self, now: float) -> None:
+        self._counted_since = now
         self.sent = 0
         self.declined = 0
 
-    def _adopt(self, now: float, rate: float | None, turns: int) -> bool:
-        """Take a rate, with so many turns if there was no limit before."""
+    def _adopt(self, now: float, rate: float | None, tokens: int) -> bool:
+        """Set the rate, with `tokens` if there was no limit before."""
         if rate == self.rate:
             return False
         if self.rate is None:
-            self._begin_counting(now)
-            self._bucket.tokens = turns
-        self._pass_time(now)
+            self._reset_counts(now)
+            self._bucket.tokens = tokens
+        self._refill(now)
         self.rate = rate
-        self._bucket.bound(max(1, SAVED_SECONDS * self._find_pace()))
+        self._bucket.bound(max(1, SAVED_SECONDS * self._compute_rate()))
         return True
 
-    def _pass_time(self, now: float) -> None:
+    def _refill(self, now: float) -> None:
         if self.rate is not None:
-            passed = max(0, now - self._filled)
-            self._bucket.deposit(passed * self._find_pace())
-        self._filled = now
+            elapsed = max(0, now - self._refilled_at)
+            self._bucket.deposit(elapsed * self._compute_rate())
+        self._refilled_at = now
 
-    def _find_pace(self) -> float:
+    def _compute_rate(self) -> float:
         return max(LEAST_RATE, self.rate or 0)
 
 
 def show_rate(rate: float) -> str:
-    """Return a limit as people read it.
+    """Return a limit as text for people.
 
     >>> show_rate(2.4)
     '2.4 requests a second'
--- a/hillfield/gate/notes.py
+++ b/hillfield/gate/notes.py
@@ -1,4 +1,4 @@
-"""What a gate is told of attempts under way, and what it tells."""
+"""What a gate records of attempts in flight, and the reports it gives."""
 
 from collections.abc import Callable
 from typing import Final
@@ -14,44 +14,44 @@
 
 MILLISECONDS: Final = 1000
 
-# Is told that a request to a life of the target was lost, or that another
-# life has taken its place.
+# Called with the target when a request to it was lost, or when another
+# incarnation replaces it.
 LossListener = Callable[[TargetId], None]
-# Is told what an answer tells of the target's room.
+# Called with each report that is sent on an answer.
 AnswerListener = Callable[[float, LoadReport], None]
-# Is told that a life of the target says that it leaves.
+# Called when the served incarnation announces that it leaves.
 LeavingListener = Callable[[float, TargetId], None]
-# Is told the fingerprint of a request that the target answered well.
+# Called with the fingerprint of each request that the target answered well.
 ServedListener = Callable[[bytes], None]
 
 
 class GateNotes:
-    """Take notes of attempts at the target, and tell of its room."""
+    """Record attempts at the target, and report its free capacity."""
 
     def __init__(self, state: GateState) -> None:
-        """Take notes in this state."""
+        """Record in this state."""
         self._state = state
-        self._told = 0
-        self.on_lost: LossListener = _tell_nobody
-        self.on_replaced: LossListener = _tell_nobody
-        self.on_served: ServedListener = _tell_none
-        self.on_leaving: LeavingListener = _follow_nothing
-        self.on_answer: AnswerListener = _note_nothing
+        self._report_number = 0
+        self.on_lost: LossListener = _ignore_target
+        self.on_replaced: LossListener = _ignore_target
+        self.on_served: ServedListener = _ignore_fingerprint
+        self.on_leaving: LeavingListener = _ignore_leaving
+        self.on_answer: AnswerListener = _ignore_report
 
     def note_written(self, now: float, attempt: int) -> None:
-        """Note that the attempt's first byte is about to be written."""
-        found = self._state.ledger.find(attempt)
-        if found is not None:
-            found.follow(AttemptTrigger.WRITE)
+        """Record that the attempt's first byte is about to be written."""
+        attempt_record = self._state.ledger.find(attempt)
+        if attempt_record is not None:
+            attempt_record.follow(AttemptTrigger.WRITE)
 
     def note_head(self, now: float, attempt: int) -> None:
-        """Note that the head of the attempt's answer has come."""
-        found = self._state.ledger.find(attempt)
-        if found is not None:
-            found.follow(AttemptTrigger.HEAD)
+        """Record that the head of the attempt's answer has been received."""
+        attempt_record = self._state.ledger.find(attempt)
+        if attempt_record is not None:
+            attempt_record.follow(AttemptTrigger.HEAD)
 
     def note_silent(self, now: float, attempt: int) -> None:
-        """Ignore it: targets send no signs of life."""
+        """Ignore it: targets send no keepalives."""
 
     def note_notice(
         self,
@@ -59,21 +59,23 @@
         attempt: int,
         notice: TargetNotice,
     ) -> None:
-        """Take what the target says of itself in an attempt's answer."""
-        found = self._state.ledger.find(attempt)
-        if found is not None and hear(self._state, now, found, notice):
-            self.on_leaving(now, found.target.id)
+        """Apply what the target says about itself in an attempt's answer."""
+        attempt_record = self._state.ledger.find(attempt)
+        if attempt_record is not None and hear(
+            self._state, now, attempt_record, notice
+        ):
+            self.on_leaving(now, attempt_record.target.id)
 
     def adopt_report(self, now: float, report: LoadReport) -> None:
-        """Ignore it: targets don't tell of their room."""
+        """Ignore it: targets report no capacity."""
 
     def report(self, now: float) -> LoadReport | None:
-        """Return what other nodes should know of the target's room."""
-        self._told += 1
-        return report_load(self._state, now, self._told)
+        """Return the report of the target's free capacity for other nodes."""
+        self._report_number += 1
+        return report_load(self._state, now, self._report_number)
 
     def report_on_answer(self, now: float) -> LoadReport | None:
-        """Return what one node is told on an answer, and note that."""
+        """Return the report for an answer, and pass it to `on_answer`."""
         report = self.report(now)
         if report is not None:
             self.on_answer(now, report)
@@ -85,41 +87,41 @@
         wall: int,
         target: TargetId,
     ) -> TargetEnd | None:
-        """Note that a life of the target has ended; return under what.
+        """Record that the target's process has exited; return the exit.
 
         `wall` is the wall clock in milliseconds. None: no request was lost.
         """
-        end = self._state.lost.close(now, wall, target)
-        if end is not None:
+        target_exit = self._state.lost.close(now, wall, target)
+        if target_exit is not None:
             self._state.journal.record(
                 Occurrence(
                     EventCode.TARGET_ENDED,
                     service=target.service,
                     target=str(target),
-                    detail=' '.join(map(_describe, end.runs)),
+                    detail=' '.join(map(_describe, target_exit.runs)),
                 ),
             )
-        return end
+        return target_exit
 
 
 def _describe(run: Run) -> str:
-    """Name a run: its fingerprint, and the milliseconds that it lasted."""
+    """Return a run's fingerprint and its duration in milliseconds."""
     milliseconds = round(run.lasted * MILLISECONDS)
     name = run.fingerprint.hex()
     return f'{name}:{milliseconds}'
 
 
-def _tell_nobody(target: TargetId) -> None:
-    """Tell nobody: no one has asked yet."""
+def _ignore_target(target: TargetId) -> None:
+    """Ignore the target."""
 
 
-def _tell_none(fingerprint: bytes) -> None:
-    """Tell nobody: no one follows requests."""
+def _ignore_fingerprint(fingerprint: bytes) -> None:
+    """Ignore the fingerprint."""
 
 
-def _follow_nothing(now: float, target: TargetId) -> None:
-    """Follow nothing: nobody knows of the target's lives."""
+def _ignore_leaving(now: float, target: TargetId) -> None:
+    """Ignore the notice."""
 
 
-def _note_nothing(now: float, report: LoadReport) -> None:
-    """Note nothing: nobody tells others."""
+def _ignore_report(now: float, report: LoadReport) -> None:
+    """Ignore the report."""
--- a/hillfield/gate/occupancy.py
+++ b/hillfield/gate/occupancy.py
@@ -1,4 +1,4 @@
-"""Which life of its target a gate serves."""
+"""The incarnation of its target that a gate serves."""
 
 from hillfield.events import EventCode
 from hillfield.gate.hearing import hear_told
@@ -11,15 +11,15 @@
 
 
 class GateSeat(GateNotes):
-    """Take lives of the target; nothing that was learnt of one outlasts it."""
+    """Serve incarnations of the target, each with fresh health and limit."""
 
     @property
     def seat(self) -> Seat | None:
-        """Return the life of the target that is served."""
+        """Return the served incarnation."""
         return self._state.seat
 
     def take_seat(self, seat: Seat | None) -> None:
-        """Take the present life of the target; None: it is gone or leaves."""
+        """Serve an incarnation of the target; None: it has left or leaves."""
         state = self._state
         if seat is not None and seat.target.state is TargetState.DRAINING:
             self.leave_seat()
@@ -43,14 +43,14 @@
                 f'known as {seat.name}',
             )
 
-    def adopt_told(self, now: float, told: LifeNotice) -> None:
-        """Take what the sender of a request was told of the target."""
+    def adopt_told(self, now: float, notice: LifeNotice) -> None:
+        """Apply the notice that the sender of a request has received."""
         seat = self._state.seat
-        if seat is not None and hear_told(self._state, now, told):
+        if seat is not None and hear_told(self._state, now, notice):
             self.on_leaving(now, seat.target.id)
 
     def leave_seat(self) -> None:
-        """Give the target no new work: it has said that it leaves."""
+        """Send no new work to the target: it has announced that it leaves."""
         seat = self._state.seat
         if seat is not None:
             self._state.farewell = seat
--- a/hillfield/gate/order.py
+++ b/hillfield/gate/order.py
@@ -1,8 +1,8 @@
-"""Decide who goes first at the gate of a target; pure.
+"""Decide the order of requests that wait at the gate of a target; pure.
 
-This answers a crowd, while a target has fewer slots than requests: the more
-urgent kind goes first, and no client account takes the slots of others by
-asking for more of them.
+The order matters in an overload, when a target has fewer slots than requests:
+more urgent requests go first, and no client account gets the slots of others
+by sending more requests.
 """
 
 from collections.abc import Mapping, Sequence
@@ -10,19 +10,20 @@
 
 from msgspec import Struct
 
-# The part of a call where accounts share the slots: before all of them.
+# Usage that calls of other services count with where accounts share the
+# target: less than that of any account, so that they go first.
 PART_OF_CALLS: Final = -1.0
 
 
 class Rank(Struct, frozen=True):
-    """Say what counts for a request's turn; times are in seconds.
-
-    `late`: its answer would come too late to be worth most; `long`: it holds
-    a slot for longer than others; `priority` as its account and route say (0
-    goes first); `expires` is when its caller gives up, by the monotonic clock;
-    `account` is whose it is (empty: nobody's); `foreign`: it names no account
-    and began on a host of another service; `cost` is how long it should hold
-    its slot.
+    """Hold the properties that decide a request's order; times are seconds.
+
+    `late`: its answer would come after the time in which it is worth most;
+    `long`: it holds a slot for longer than other requests; `priority`: that of
+    its account and route (0 goes first); `expires`: when its caller gives up,
+    by the monotonic clock; `account`: its client account (empty: none);
+    `service_call`: it names no account and began on a host of another service;
+    `cost`: how long it is expected to hold its slot.
     """
 
     late: bool = False
@@ -35,10 +36,11 @@
 
 
 class Turn(Struct, frozen=True, order=True):
-    """Order the waiting: the least goes first.
+    """Order the waiting requests: the least goes first.
 
-    `level` is the priority that counts, `part` the seconds of slots that the
-    account has had by then, `number` tells who came first.
+    `level` is the effective priority, `usage` the seconds of slots that the
+    account will have used by then, `number` the position in the order of
+    arrival.
     """
 
     late: bool
@@ -49,44 +51,46 @@
     number: int
 
 
-def is_call(rank: Rank, shared: bool) -> bool:
-    """Tell whether a request is a call of running work, which holds a slot.
+def is_call(rank: Rank, by_account: bool) -> bool:
+    """Return whether a request is a call made by running work of a service.
 
-    `shared`: client accounts share the target, so what names none is no
-    client's. Elsewhere calls are told by being short, too.
+    Running work holds a slot of another target while it waits for its calls.
+    `by_account`: client accounts share the target, so a request that names
+    none is from no client. Elsewhere only short requests count as calls.
 
-    >>> is_call(Rank(long=True, foreign=True), shared=True)
+    >>> is_call(Rank(long=True, foreign=True), by_account=True)
     True
-    >>> is_call(Rank(long=True, foreign=True), shared=False)
+    >>> is_call(Rank(long=True, foreign=True), by_account=False)
     False
     """
-    return rank.foreign and (shared or not rank.long)
+    return rank.foreign and (by_account or not rank.long)
 
 
 def arrange(
     ranks: Sequence[Rank],
-    parts: Mapping[str, float],
+    usage: Mapping[str, float],
 ) -> tuple[Turn, ...]:
-    """Return the turns of all that wait, given in the order they came.
+    """Return the order of all waiting requests, given in order of arrival.
 
-    `parts` are the seconds of slots that each account has had lately. What
-    waits of one account counts for those of it that come after, so accounts
-    take turns. A call goes with the most urgent that waits.
+    `usage` holds the seconds of slots that each account has used lately. Each
+    waiting request adds to the usage that the next one of its account counts
+    with, so that accounts alternate. A call gets the priority of the most
+    urgent waiting request.
 
     >>> first, second = arrange([Rank(priority=2), Rank(priority=1)], {})
     >>> second < first
     True
     >>> alike = [Rank(account=name, cost=1) for name in 'aab']
-    >>> turns = arrange(alike, {})
-    >>> sorted(range(3), key=turns.__getitem__)
+    >>> orders = arrange(alike, {})
+    >>> sorted(range(3), key=orders.__getitem__)
     [0, 2, 1]
     """
-    shared = any(rank.account for rank in ranks)
+    by_account = any(rank.account for rank in ranks)
     least = min((rank.priority for rank in ranks), default=0)
-    turns = [
+    orders = [
         Turn(
             rank.late,
-            least if is_call(rank, shared) else rank.priority,
+            least if is_call(rank, by_account) else rank.priority,
             0,
             rank.long,
             rank.expires,
@@ -94,71 +98,72 @@
         )
         for number, rank in enumerate(ranks)
     ]
-    return _share(ranks, turns, parts) if shared else tuple(turns)
+    return _add_usage(ranks, orders, usage) if by_account else tuple(orders)
 
 
 def find_outranked(
     ranks: Sequence[Rank],
-    turns: Sequence[Turn],
+    orders: Sequence[Turn],
 ) -> tuple[int, ...]:
-    """Return the numbers of those that the last one goes before by rank.
+    """Return the numbers of the requests that go after the newest by rank.
 
-    Neither what is more urgent nor what differs only in length or expiry is
-    among them: those have come first.
+    Requests that differ from it only in length or expiry are not among them:
+    they have come first.
     """
-    newcomer = turns[-1]
+    newcomer = orders[-1]
     account = ranks[-1].account
     return tuple(
-        turn.number
-        for turn in turns[:-1]
-        if turn.level >= newcomer.level
-        and _differs(ranks[turn.number], turn, account, newcomer)
+        order.number
+        for order in orders[:-1]
+        if order.level >= newcomer.level
+        and _differs(ranks[order.number], order, account, newcomer)
         and (newcomer.late, newcomer.level, newcomer.part)
-        < (turn.late, turn.level, turn.part)
+        < (order.late, order.level, order.part)
     )
 
 
 def find_last(
     ranks: Sequence[Rank],
-    turns: Sequence[Turn],
+    orders: Sequence[Turn],
 ) -> int | None:
-    """Return the number of the one that makes way for the last one, if any.
+    """Return the number of the request that the newest one displaces, if any.
 
-    Never a call: what waits for it holds a slot of another target.
+    Calls are never displaced: the work that waits for them holds a slot of
+    another target.
     """
-    shared = any(rank.account for rank in ranks)
+    by_account = any(rank.account for rank in ranks)
     outranked = [
         number
-        for number in find_outranked(ranks, turns)
-        if not is_call(ranks[number], shared)
+        for number in find_outranked(ranks, orders)
+        if not is_call(ranks[number], by_account)
     ]
-    return max(outranked, key=turns.__getitem__, default=None)
+    return max(outranked, key=orders.__getitem__, default=None)
 
 
-def _differs(rank: Rank, turn: Turn, account: str, other: Turn) -> bool:
-    return rank.account != account or turn.level != other.level
+def _differs(rank: Rank, order: Turn, account: str, other: Turn) -> bool:
+    return rank.account != account or order.level != other.level
 
 
-def _share(
+def _add_usage(
     ranks: Sequence[Rank],
-    turns: Sequence[Turn],
-    parts: Mapping[str, float],
+    orders: Sequence[Turn],
+    usage: Mapping[str, float],
 ) -> tuple[Turn, ...]:
-    """Put the accounts' parts into turns, in the order of their own work."""
-    had = dict(parts)
-    shared = {}
-    for turn in sorted(turns):
-        rank = ranks[turn.number]
-        part: float = PART_OF_CALLS
+    """Set the accounts' usage, in the order of each account's own requests."""
+    used = dict(usage)
+    by_number = {}
+    for order in sorted(orders):
+        rank = ranks[order.number]
+        seconds: float = PART_OF_CALLS
         if not rank.foreign:
-            part = had.get(rank.account, 0)
-            had[rank.account] = part + rank.cost
-        shared[turn.number] = Turn(
-            turn.late,
-            turn.level,
-            part,
-            turn.long,
-            turn.expires,
-            turn.number,
+            seconds = used.get(rank.account, 0)
+            used[rank.account] = seconds + rank.cost
+        by_number[order.number] = Turn(
+            order.late,
+            order.level,
+            seconds,
+            order.long,
+            order.expires,
+            order.number,
         )
-    return tuple(shared[number] for number in range(len(turns)))
+    return tuple(by_number[number] for number in range(len(orders)))
--- a/hillfield/gate/plans.py
+++ b/hillfield/gate/plans.py
@@ -1,4 +1,4 @@
-"""Plans for requests that other nodes hand to the gate."""
+"""Plans for requests that other nodes forward to the gate."""
 
 from typing import Final
 
@@ -20,16 +20,16 @@
 
 UNAVAILABLE: Final = 503
 MALFORMED: Final = 400
-# Seconds; the fleet hears of a target's change within about this.
+# Seconds; the fleet learns of a changed target within about this.
 COME_BACK: Final = 0.2
-# Seconds; the time left of each request bounds it far below this.
+# Seconds; the remaining time of each request is far below this.
 LONGEST: Final = 3600.0
 
 
 class GatePlans(Struct, frozen=True):
-    """Resolve requests for the gate's target; refuse those for another.
+    """Plan requests for the gate's target; refuse those for another one.
 
-    `checks` tell a wrong answer of the target.
+    `checks` detect a wrong answer of the target.
     """
 
     gate: Gate
@@ -43,35 +43,35 @@
         read = read_hop(head.hop)
         if read.is_error():
             return Error(_refuse(MALFORMED, f'Hillfield-Hop: {read.error}'))
-        order = read.ok
-        if order.told is not None:
-            self.gate.adopt_told(monotonic(), order.told)
+        instructions = read.ok
+        if instructions.told is not None:
+            self.gate.adopt_told(monotonic(), instructions.told)
         seat = self.gate.seat
         if seat is None or self.gate.closing:
             return Error(_refuse(UNAVAILABLE, 'no target is served here'))
-        here = seat.target.id
-        if (order.service, order.incarnation) != (
-            here.service,
-            here.incarnation,
+        target_id = seat.target.id
+        if (instructions.service, instructions.incarnation) != (
+            target_id.service,
+            target_id.incarnation,
         ):
-            return Error(_refuse(UNAVAILABLE, f'{here} is served here'))
-        return Ok(self._plan(order))
+            return Error(_refuse(UNAVAILABLE, f'{target_id} is served here'))
+        return Ok(self._plan(instructions))
 
-    def _plan(self, order: HopOrder) -> RequestPlan:
+    def _plan(self, instructions: HopOrder) -> RequestPlan:
         return RequestPlan(
-            order.service,
-            order.route,
-            order.account,
-            order.idempotent,
+            instructions.service,
+            instructions.route,
+            instructions.account,
+            instructions.idempotent,
             LONGEST,
             maximum_attempts=1,
             checks=self.checks,
-            priority=order.priority,
-            origin=order.origin,
-            trial=order.trial,
-            urgency=order.urgency,
-            aim=order.aim,
-            spent=order.spent,
+            priority=instructions.priority,
+            origin=instructions.origin,
+            trial=instructions.trial,
+            urgency=instructions.urgency,
+            aim=instructions.aim,
+            spent=instructions.spent,
         )
 
 
--- a/hillfield/gate/queue.py
+++ b/hillfield/gate/queue.py
@@ -9,7 +9,7 @@
 
 
 class Place(Struct, frozen=True):
-    """Say who waits, with which rank, and until when at most (seconds)."""
+    """Hold a waiting request, its rank, and when its wait ends (seconds)."""
 
     rank: Rank
     until: float
@@ -17,82 +17,85 @@
 
 
 class GateQueue:
-    """Let the least rank go first, those alike in order of arrival.
+    """Order waiting requests by rank, equal ones by arrival.
 
-    `parts` are the seconds of slots that each account has had lately.
+    `usage` holds the seconds of slots that each account has used lately.
     """
 
     def __init__(self) -> None:
         """Start empty."""
-        self._places: list[Place] = []
+        self._waiting: list[Place] = []
 
     def __len__(self) -> int:
-        """Return how many wait."""
-        return len(self._places)
+        """Return the number of waiting requests."""
+        return len(self._waiting)
 
     def push(
         self,
         record: RequestRecord,
         rank: Rank,
-        until: float,
+        wait_until: float,
     ) -> None:
-        """Let a request wait until this moment."""
-        self._places.append(Place(rank, until, record))
+        """Add a request that may wait until this moment."""
+        self._waiting.append(Place(rank, wait_until, record))
 
-    def pop(self, parts: Mapping[str, float]) -> RequestRecord:
-        """Take the request whose turn it is."""
-        first = min(arrange(self._list_ranks(), parts))
-        return self._places.pop(first.number).record
+    def pop(self, usage: Mapping[str, float]) -> RequestRecord:
+        """Remove and return the request that goes first."""
+        first = min(arrange(self._list_ranks(), usage))
+        return self._waiting.pop(first.number).record
 
-    def count_ahead(self, rank: Rank, parts: Mapping[str, float]) -> int:
-        """Return how many go before one more of this rank."""
+    def count_ahead(self, rank: Rank, usage: Mapping[str, float]) -> int:
+        """Return how many requests go before one more of this rank."""
         ranks = (*self._list_ranks(), rank)
-        outranked = find_outranked(ranks, arrange(ranks, parts))
-        return len(self._places) - len(outranked)
+        outranked = find_outranked(ranks, arrange(ranks, usage))
+        return len(self._waiting) - len(outranked)
 
     def find_last(
         self,
-        parts: Mapping[str, float],
+        usage: Mapping[str, float],
     ) -> tuple[int, Place] | None:
-        """Return who would make way for the newest, and how many go before.
+        """Return the request that the newest displaces, and how many precede.
 
-        None: the newest goes before nobody that may be declined for it.
+        None: the newest goes before no request that may be declined for it.
         """
         ranks = self._list_ranks()
-        turns = arrange(ranks, parts)
-        last = find_last(ranks, turns)
-        if last is None:
+        orders = arrange(ranks, usage)
+        displaced = find_last(ranks, orders)
+        if displaced is None:
             return None
-        ahead = sum(turn < turns[last] for turn in turns)
-        return ahead, self._places[last]
+        ahead = sum(order < orders[displaced] for order in orders)
+        return ahead, self._waiting[displaced]
 
     def remove(self, record: RequestRecord) -> None:
-        """Take a request out, wherever it waits."""
-        self._places = [
-            place for place in self._places if place.record is not record
+        """Remove a request from the queue."""
+        self._waiting = [
+            queued for queued in self._waiting if queued.record is not record
         ]
 
     def take_all(self) -> tuple[RequestRecord, ...]:
-        """Empty the queue."""
-        records = tuple(place.record for place in self._places)
-        self._places.clear()
+        """Remove and return all requests."""
+        records = tuple(queued.record for queued in self._waiting)
+        self._waiting.clear()
         return records
 
     def take_late(self, now: float) -> tuple[Place, ...]:
-        """Take out those whose wait is over, or that would expire.
+        """Remove and return the requests whose wait or deadline is over.
 
-        Each is measured by how long its own route takes: where others take
-        long, what is short and has little time could else never wait.
+        Each is measured by the duration of its own route: measured by that of
+        other, longer requests, a short one with a short deadline could never
+        wait.
         """
-        late = tuple(place for place in self._places if _is_late(now, place))
-        for place in late:
-            self.remove(place.record)
-        return late
+        expired = tuple(
+            queued for queued in self._waiting if _is_expired(now, queued)
+        )
+        for queued in expired:
+            self.remove(queued.record)
+        return expired
 
     def _list_ranks(self) -> tuple[Rank, ...]:
-        return tuple(place.rank for place in self._places)
+        return tuple(queued.rank for queued in self._waiting)
 
 
-def _is_late(now: float, place: Place) -> bool:
-    ends = now + place.rank.cost
-    return now > place.until or ends > place.record.arrival.expires
+def _is_expired(now: float, queued: Place) -> bool:
+    expected_end = now + queued.rank.cost
+    return now > queued.until or expected_end > queued.record.arrival.expires
--- a/hillfield/gate/reporting.py
+++ b/hillfield/gate/reporting.py
@@ -1,4 +1,4 @@
-"""What the gate tells of its target's room."""
+"""Reports of the target's free capacity."""
 
 from typing import Final
 
@@ -7,7 +7,7 @@
 from hillfield.gate.suspicion import DOUBT_SCORE, weigh_running
 from hillfield.loadreports.reports import Held, LoadReport
 
-# Digits of the seconds that are told: a millisecond changes no choice.
+# Decimal digits of reported seconds: a millisecond changes no decision.
 WAIT_DIGITS: Final = 3
 
 
@@ -16,10 +16,10 @@
     now: float,
     number: int,
 ) -> LoadReport | None:
-    """Return the report of the target, if there is one."""
+    """Return the report of the target, or None without a target."""
     target = state.target
     if target is None:
-        return _report_left(state, number)
+        return _report_leaving(state, number)
     waiting = len(state.queue)
     free = 0 if waiting else count_room(state, now, target)
     return LoadReport(
@@ -30,23 +30,23 @@
         number,
         free,
         waiting,
-        _find_held(state, now),
+        _find_withheld(state, now),
         0 if free else round(find_wait(state, now, target), WAIT_DIGITS),
         count_usable(state, target),
         state.find_notice(),
     )
 
 
-def _report_left(state: GateState, number: int) -> LoadReport | None:
-    """Tell that a life that leaves has no room, until another is here."""
+def _report_leaving(state: GateState, number: int) -> LoadReport | None:
+    """Report no capacity for an incarnation that leaves."""
     if state.farewell is None:
         return None
-    left = state.farewell.target.id
+    leaving = state.farewell.target.id
     return LoadReport(
-        left.service,
-        left.address.ip,
-        left.address.port,
-        left.incarnation,
+        leaving.service,
+        leaving.address.ip,
+        leaving.address.port,
+        leaving.incarnation,
         number,
         0,
         held=Held.ALL,
@@ -54,9 +54,9 @@
     )
 
 
-def _find_held(state: GateState, now: float) -> Held:
+def _find_withheld(state: GateState, now: float) -> Held:
     if state.standing.shunned:
-        wanted = state.standing.wants_trial(now)
-        return Held.USUAL if wanted else Held.ALL
-    doubted = weigh_running(state, now) > DOUBT_SCORE
-    return Held.ONCE if doubted else Held.NOTHING
+        trial_due = state.standing.wants_trial(now)
+        return Held.USUAL if trial_due else Held.ALL
+    suspected = weigh_running(state, now) > DOUBT_SCORE
+    return Held.ONCE if suspected else Held.NOTHING
--- a/hillfield/gate/room.py
+++ b/hillfield/gate/room.py
@@ -1,24 +1,24 @@
-"""How much room the host's target has, and how long one waits for it."""
+"""Free capacity of the host's target, and the expected wait for it."""
 
 from typing import Final
 
 from hillfield.gate.state import GateState
 from hillfield.model import Target
 
-# Seconds of an attempt while nothing has been measured.
+# Seconds that an attempt is assumed to take before any has been measured.
 FIRST_NEED: Final = 0.02
 
 
 def find_need(state: GateState) -> float:
-    """Return the seconds that an attempt takes as a rule."""
+    """Return the mean seconds that an attempt takes."""
     return state.latency.mean or FIRST_NEED
 
 
 def count_room(state: GateState, now: float, target: Target) -> int:
-    """Return how many requests the target takes at once, by all bounds."""
+    """Return how many requests may be sent now, by slots and rate limit."""
     free = max(0, target.slots - state.in_flight)
-    turns = state.limit.count_turns(now)
-    return free if turns is None else min(free, turns)
+    tokens = state.limit.count_turns(now)
+    return free if tokens is None else min(free, tokens)
 
 
 def find_wait(
@@ -27,20 +27,20 @@
     target: Target,
     ahead: int | None = None,
 ) -> float:
-    """Return the seconds that one more would wait for a slot and a turn.
+    """Return the seconds that one more request would wait for slot and token.
 
-    `ahead` is how many go before it (None: all that wait, as before one of
-    the lowest rank).
+    `ahead` is how many waiting requests go before it (None: all of them, as
+    for the lowest rank).
     """
-    before = len(state.queue) if ahead is None else ahead
-    slot = (before + 1) * find_need(state) / count_usable(state, target)
-    return max(slot, state.limit.find_wait(now, before))
+    waiting = len(state.queue) if ahead is None else ahead
+    slot = (waiting + 1) * find_need(state) / count_usable(state, target)
+    return max(slot, state.limit.find_wait(now, waiting))
 
 
 def count_usable(state: GateState, target: Target) -> int:
-    """Return the slots that do useful work: one whose request hangs doesn't.
+    """Return the number of slots whose requests do not hang, at least 1.
 
-    It is 1 at the least: what is held back says that none does.
+    That no slot is usable is expressed by the withheld work instead.
     """
     attempts = state.ledger.attempts.values()
     hung = sum(
--- a/hillfield/gate/seat.py
+++ b/hillfield/gate/seat.py
@@ -1,4 +1,4 @@
-"""The target that a gate stands before."""
+"""The incarnation of its target that a gate serves."""
 
 from msgspec import Struct
 
@@ -6,11 +6,11 @@
 
 
 class Seat(Struct, frozen=True):
-    """Hold one life of the host's target.
+    """Hold the served incarnation of the host's target.
 
-    `name` is what the target calls this life of itself, `born` the moment of
-    its start as it tells it (None: it doesn't); `target.id` holds the number
-    by which other nodes know it.
+    `name` is the name that this incarnation announces, `born` the start time
+    that it announces (None: it doesn't); `target.id` holds the incarnation
+    number by which other nodes know it.
     """
 
     target: Target
@@ -19,5 +19,5 @@
 
     @property
     def life(self) -> str:
-        """Return what names this life at any node that stands before it."""
+        """Return an identifier of this incarnation, the same at any node."""
         return self.name if self.born is None else f'{self.name}/{self.born}'
--- a/hillfield/gate/seating.py
+++ b/hillfield/gate/seating.py
@@ -1,4 +1,4 @@
-"""Which life of the host's target the gate stands before."""
+"""Track which incarnation of the host's target the gate serves."""
 
 from collections import OrderedDict
 from dataclasses import dataclass
@@ -21,10 +21,11 @@
 
 
 @dataclass(slots=True)
-class _Named:
-    """Hold a life; `born` is what it says of its start (None: nothing).
+class _Incarnation:
+    """Hold an incarnation that heartbeats name.
 
-    `leaving`: it has said that it leaves, whatever its heartbeats say later.
+    `born` is its start as it announces it (None: it doesn't). `leaving`: it
+    has announced that it leaves, whatever later heartbeats say.
     """
 
     announcement: Announcement
@@ -33,8 +34,8 @@
     born: int | None
     leaving: bool = False
 
-    def is_over(self, announcement: Announcement) -> bool:
-        """Tell whether a heartbeat is of a later life of the same name."""
+    def is_superseded_by(self, announcement: Announcement) -> bool:
+        """Return whether a heartbeat is of a later incarnation of this name."""
         born = announcement.incarnation
         if born is None or self.born is None:
             return False
@@ -42,22 +43,22 @@
 
 
 class Seating:
-    """Follow targets that name each life of themselves.
+    """Track the incarnations of a target, each named in its heartbeats.
 
-    A life's incarnation is the wall clock at its first heartbeat, always
-    above that of any life before it. A heartbeat that comes late, by its
-    sequence number, changes nothing. A target may start again under the same
-    name: what it announces as its incarnation, when it was born, tells that,
-    and nothing of its earlier life counts for it.
+    The number of an incarnation is the wall clock at its first heartbeat,
+    always above the numbers before it. A heartbeat that arrives out of order,
+    by its sequence number, is ignored. A target may restart under the same
+    name: the incarnation that it announces, the time of its start, shows that,
+    and no state of the earlier incarnation applies to the new one.
     """
 
     def __init__(self, registry: TargetRegistry, gate: Gate) -> None:
         """Start without a target."""
         self._registry = registry
         self.gate = gate
-        self._named: OrderedDict[str, _Named] = OrderedDict()
-        self._left: OrderedDict[str, int] = OrderedDict()
-        self._newest = 0
+        self._incarnations: OrderedDict[str, _Incarnation] = OrderedDict()
+        self._withdrawn: OrderedDict[str, int] = OrderedDict()
+        self._latest = 0
         gate.on_leaving = self.note_leaving
 
     def announce(
@@ -68,16 +69,16 @@
         sequence: int,
         announcement: Announcement,
     ) -> Result[Target, AnnouncementProblem]:
-        """Take a heartbeat; `wall` is the wall clock in milliseconds."""
-        named = self._named.get(name)
-        if not self._may_come_back(name, announcement):
+        """Process a heartbeat; `wall` is the wall clock in milliseconds."""
+        named = self._incarnations.get(name)
+        if not self._is_acceptable(name, announcement):
             return Error(_describe_unknown(name))
-        if named is None or named.is_over(announcement):
-            named = self._begin(name, wall, announcement)
+        if named is None or named.is_superseded_by(announcement):
+            named = self._start(name, wall, announcement)
         elif announcement.incarnation != named.born:
-            return Error(_describe_other_life(announcement, named))
+            return Error(_describe_other(announcement, named))
         elif sequence <= named.sequence:
-            return Error(_describe_late(sequence, named))
+            return Error(_describe_stale(sequence, named))
         named.sequence = sequence
         if named.leaving:
             announcement = replace(announcement, state=TargetState.DRAINING)
@@ -86,20 +87,21 @@
             incarnation=named.incarnation,
         )
         if announcement.state is TargetState.DRAINING:
-            # Acknowledged it binds, whatever the registry makes of it.
-            self._leave_seat(name)
-        told = self._registry.announce(now, wall, named.announcement)
-        if told.is_ok():
-            self.gate.take_seat(Seat(told.ok, name, named.born))
-        return told
+            # An acknowledged drain is binding, even if the registry rejects
+            # it.
+            self._stop_serving(name)
+        announced = self._registry.announce(now, wall, named.announcement)
+        if announced.is_ok():
+            self.gate.take_seat(Seat(announced.ok, name, named.born))
+        return announced
 
     def note_leaving(self, now: float, target: TargetId) -> None:
-        """Take the word of the life that is served, as a heartbeat's."""
+        """Treat a notice of the served incarnation as a draining heartbeat."""
         seat = self.gate.seat
         if seat is None or seat.target.id != target:
             return
-        self._leave_seat(seat.name)
-        named = self._named.get(seat.name)
+        self._stop_serving(seat.name)
+        named = self._incarnations.get(seat.name)
         if named is None:
             return
         named.leaving = True
@@ -115,17 +117,18 @@
         name: str,
         wall: int = 0,
     ) -> Result[Target, AnnouncementProblem]:
-        """Forget a life at once; no later heartbeat brings it back.
+        """Forget an incarnation; later heartbeats of it are rejected.
 
-        `wall` is the wall clock in milliseconds: what was born by then has
-        left, where no heartbeat has told when it was.
+        `wall` is the wall clock in milliseconds: where no heartbeat has
+        announced the start, every incarnation that started before counts as
+        withdrawn.
         """
-        named = self._named.get(name)
+        named = self._incarnations.get(name)
         known = None if named is None else named.born
-        self._left[name] = wall if known is None else known
-        if len(self._left) > NAMES_KEPT:
-            self._left.popitem(last=False)
-        self._leave_seat(name)
+        self._withdrawn[name] = wall if known is None else known
+        if len(self._withdrawn) > NAMES_KEPT:
+            self._withdrawn.popitem(last=False)
+        self._stop_serving(name)
         if named is None:
             return Error(_describe_unknown(name))
         return self._registry.withdraw(
@@ -136,7 +139,7 @@
         )
 
     def follow_expiry(self, now: float) -> None:
-        """Leave the seat of a target that has long been silent."""
+        """Stop serving a target whose heartbeats have expired."""
         seat = self.gate.seat
         if seat is None:
             return
@@ -144,34 +147,36 @@
         if seat.target.id not in listed:
             self.gate.take_seat(None)
 
-    def _may_come_back(self, name: str, announcement: Announcement) -> bool:
-        left = self._left.get(name)
+    def _is_acceptable(self, name: str, announcement: Announcement) -> bool:
+        left = self._withdrawn.get(name)
         if left is None:
             return True
         born = announcement.incarnation
         return born is not None and born > left
 
-    def _leave_seat(self, name: str) -> None:
+    def _stop_serving(self, name: str) -> None:
         seat = self.gate.seat
         if seat is not None and seat.name == name:
             self.gate.leave_seat()
 
-    def _begin(
+    def _start(
         self,
         name: str,
         wall: int,
         announcement: Announcement,
-    ) -> _Named:
-        self._newest = max(wall, self._newest + 1)
-        named = _Named(announcement, self._newest, -1, announcement.incarnation)
-        self._named[name] = named
-        self._left.pop(name, None)
-        if len(self._named) > NAMES_KEPT:
-            self._named.popitem(last=False)
+    ) -> _Incarnation:
+        self._latest = max(wall, self._latest + 1)
+        named = _Incarnation(
+            announcement, self._latest, -1, announcement.incarnation
+        )
+        self._incarnations[name] = named
+        self._withdrawn.pop(name, None)
+        if len(self._incarnations) > NAMES_KEPT:
+            self._incarnations.popitem(last=False)
         return named
 
 
-def _describe_late(sequence: int, named: _Named) -> AnnouncementProblem:
+def _describe_stale(sequence: int, named: _Incarnation) -> AnnouncementProblem:
     return AnnouncementProblem(
         Refusal.STALE,
         'sequence',
@@ -180,15 +185,15 @@
     )
 
 
-def _describe_other_life(
+def _describe_other(
     announcement: Announcement,
-    named: _Named,
+    named: _Incarnation,
 ) -> AnnouncementProblem:
     return AnnouncementProblem(
         Refusal.STALE,
         'incarnation',
         f'{announcement.incarnation} after {named.born}',
-        'send with each heartbeat when the target was born',
+        'send the start time of the target with each heartbeat',
     )
 
 
@@ -197,5 +202,5 @@
         Refusal.UNKNOWN,
         'name',
         name,
-        'nothing is to be done: the target is not listed here, or has left',
+        'no action is needed: the target is not listed here, or has left',
     )
--- a/hillfield/gate/shares.py
+++ b/hillfield/gate/shares.py
@@ -1,7 +1,8 @@
-"""How much of a target's slots each client account has had lately; pure.
+"""How much slot time of a target each client account has used lately; pure.
 
-This answers an account that asks at all nodes for more than its part: the
-gate alone sees all that its target does, so nothing is told to other nodes.
+This limits an account that sends more than its share through all nodes: all
+requests to the target pass this gate, so nothing is exchanged with other
+nodes.
 """
 
 from math import exp
@@ -9,57 +10,56 @@
 
 from hillfield.model import RequestPlan
 
-# Seconds in which the count of what an account has had falls to a third:
-# some tens of requests long, and an account that was idle is not ahead of the
-# others for longer.
+# Seconds in which an account's usage decays to a third: some tens of requests
+# long, and an account that was idle has no advantage for longer.
 MEMORY: Final = 5.0
-# Accounts counted; the one that has had least is forgotten for one more.
+# Accounts tracked; the one with the least usage is dropped for a new one.
 MOST_ACCOUNTS: Final = 256
-# Seconds of slots below which an account counts as idle and is forgotten.
+# Seconds of slots below which an account counts as idle and is dropped.
 LEAST_PART: Final = 0.001
 
 
 class AccountShares:
-    """Count the seconds of slots of each account, the latest weighing most.
+    """Track the slot seconds of each account, exponentially decayed.
 
-    >>> shares = AccountShares()
-    >>> shares.charge(10.0, 'till', 2)
-    >>> shares.read(10.0)
+    >>> usage = AccountShares()
+    >>> usage.charge(10.0, 'till', 2)
+    >>> usage.read(10.0)
     {'till': 2.0}
-    >>> round(shares.read(15.0)['till'], 2)
+    >>> round(usage.read(15.0)['till'], 2)
     0.74
-    >>> shares.read(100.0)
+    >>> usage.read(100.0)
     {}
     """
 
     def __init__(self) -> None:
-        """Start without any."""
-        self._parts: dict[str, float] = {}
-        self._moment: float = 0
+        """Start without accounts."""
+        self._usage: dict[str, float] = {}
+        self._updated_at: float = 0
 
     def charge(self, now: float, account: str, seconds: float) -> None:
-        """Count a slot that an account takes for about so long."""
-        parts = self.read(now)
-        if account not in parts and len(parts) >= MOST_ACCOUNTS:
-            parts.pop(min(parts, key=parts.__getitem__))
-        parts[account] = parts.get(account, 0) + seconds
+        """Add the seconds that a request is expected to hold its slot."""
+        usage = self.read(now)
+        if account not in usage and len(usage) >= MOST_ACCOUNTS:
+            usage.pop(min(usage, key=usage.__getitem__))
+        usage[account] = usage.get(account, 0) + seconds
 
     def read(self, now: float) -> dict[str, float]:
-        """Return what each has had lately; those not named had nothing."""
-        kept = exp(min(0, self._moment - now) / MEMORY)
-        self._moment = max(now, self._moment)
-        self._parts = {
-            account: kept * part
-            for account, part in self._parts.items()
-            if kept * part >= LEAST_PART
+        """Return the usage of each account, in seconds; no entry means 0."""
+        decay = exp(min(0, self._updated_at - now) / MEMORY)
+        self._updated_at = max(now, self._updated_at)
+        self._usage = {
+            account: decay * used
+            for account, used in self._usage.items()
+            if decay * used >= LEAST_PART
         }
-        return self._parts
+        return self._usage
 
 
 def is_foreign(plan: RequestPlan) -> bool:
-    """Tell whether a request is nobody's and began beside another service.
+    """Return whether a request has no account and began at another service.
 
-    Calls of running work do: their node is that of the target that works.
+    Calls of running work do: they come from the node of the target that works.
 
     >>> is_foreign(RequestPlan('fees', 'r', '', True, 1, origin='refunds'))
     True
--- a/hillfield/gate/standing.py
+++ b/hillfield/gate/standing.py
@@ -1,8 +1,9 @@
-"""Judge the host's target by how its last requests ended; pure.
+"""Score the health of the host's target by the results of its requests; pure.
 
-The test is Wald's sequential one: each end adds the logarithm of how much
-likelier it is at a sick target than at a well one. The score never falls
-below 0, so that a long good time doesn't hide a sudden sickness.
+The score is that of a sequential probability ratio test (Wald): each result
+adds the logarithm of how much likelier it is at an unhealthy target than at a
+healthy one. The score never falls below 0, so that a long healthy period
+doesn't delay the detection of a sudden failure.
 """
 
 from collections.abc import Mapping
@@ -16,11 +17,12 @@
 
 
 class Ending(StrEnum):
-    """Name how a request at the target ended, as far as it tells.
+    """Name the result of an attempt, as evidence of the target's health.
 
-    `BROKEN` lost its connection or its framing, `FAILED` answered with an
-    error, `HUNG` took far longer than requests do there, `UNREACHED` let no
-    connection be made; `SILENT` says nothing of the target.
+    `BROKEN`: the connection was lost or the answer was malformed; `FAILED`:
+    the answer was an error; `HUNG`: it took far longer than requests do there;
+    `UNREACHABLE`: no connection could be made; `NO_EVIDENCE`: the result says
+    nothing about the target.
     """
 
     GOOD = 'good'
@@ -31,12 +33,12 @@
     SILENT = 'silent'
 
 
-# Share of requests that fail at a sick target: 45 to 85 in 100 (site files
-# of the two installations).
+# Share of requests that fail at an unhealthy target: 45 to 85 in 100 were
+# measured.
 SICK_RATE: Final = 0.6
-# Shares at a well one, from calm days of the two installations: some 2 in
-# 100 answers are errors, mostly of calls that the target made; a broken
-# connection is far rarer.
+# Shares of requests that fail at a healthy target: some 2 in 100 answers are
+# errors, mostly of calls that the target made; broken connections are far
+# rarer.
 ERROR_RATE: Final = 0.03
 BREAK_RATE: Final = 0.004
 HANG_RATE: Final = 0.02
@@ -48,44 +50,47 @@
         Ending.HUNG: log(SICK_RATE / HANG_RATE),
     },
 )
-# One broken connection, or two errors in a row.
+# Reached by one broken connection, or by two errors in a row.
 SICK_SCORE: Final = 4.5
 MOST_SCORE: Final = 5.1
-# The score at which a shunned target is believed to be well again: after four
-# good answers in a row, of which a sick one gives 3 in 100 tries.
+# Score at which quarantine ends: four good answers in a row, which an
+# unhealthy target gives in 3 of 100 cases.
 WELL_SCORE: Final = 1.6
-# Seconds between trials of a shunned target until one succeeds; twice as long
-# after each that fails. Each costs a repeat: eight sick targets that were
-# tried each 0.15 s used up what a fleet of 21 hosts may repeat.
+# Seconds between trials of a quarantined target until one succeeds; doubled
+# after each failed trial. Each trial that fails costs a retry: eight unhealthy
+# targets, each tried every 0.15 s, used up the retry budget of a fleet of 21
+# hosts.
 TRIAL_EVERY: Final = 0.15
 RAREST_TRIAL: Final = 1.0
-# Odds of work that runs once at a shunned target: those assumed at first, what
-# one more ending moves them, and those at which it is risked when no other
-# target takes it. Targets that reset 40 in 100 still serve, those that reset
-# 85 in 100 hardly (the users' installations have both).
+# Success share at a quarantined target, for requests that must not run twice:
+# the initial estimate, the weight of each further result, and the share from
+# which such a request is sent when no other target takes it. Targets that
+# reset 40 in 100 connections still serve, those that reset 85 in 100 hardly
+# do.
 FIRST_ODDS: Final = 0.25
 ODDS_GAIN: Final = 0.3
 FAIR_ODDS: Final = 0.4
-# Odds down to which it is risked when no target has taken it for long: below,
-# being told that it has not run serves its caller better.
+# The share from which such a request is sent when no target has taken it for
+# long. Below it, an answer that it has not run serves the caller better.
 POOR_ODDS: Final = 0.2
-# Seconds after which a shunned target that nothing tried is tried by what may
-# run again but has no repeat left, and by any request; sickness lasts about
-# 5 s on the users' installations.
+# Seconds without a trial after which a quarantined target is tried by an
+# idempotent request that has no retry left, and by any request. Targets fail
+# for about 5 s at a time.
 LONG_SHUN: Final = 0.5
 LONGEST_SHUN: Final = 3.0
 
 
 @dataclass(slots=True)
 class Standing:
-    """Keep the score of one life of a target; times are seconds.
-
-    `reached` says that the target let connections be made at last, `streak`
-    how many trials have succeeded in a row: so many more may run at once,
-    `pause` the seconds between two trials, `odds` the share of what was let
-    through meanwhile that ended well, the latest weighing most, `ages` the
-    sum of what the ages of requests without an answer have added, `by_age`
-    that nothing else has convicted the target.
+    """Score the health of one incarnation of a target; times are seconds.
+
+    `reachable` says whether the last connection could be made; `successes`
+    counts the trials that succeeded in a row: so many more may run at once;
+    `trial_interval` is the time between two trials. `success_share` is the
+    share of requests with a good result since the last change of state,
+    exponentially weighted. `age_score` is the part of the score that the ages
+    of unanswered requests have added; `only_by_age` says that nothing but ages
+    has put the target into quarantine.
     """
 
     score: float = 0
@@ -103,33 +108,33 @@
     def note(
         self,
         now: float,
-        ending: Ending,
+        attempt_result: Ending,
         weight: float | None = None,
     ) -> bool:
-        """Count the end of a request; return whether the verdict changed.
+        """Record the result of an attempt; return whether quarantine changed.
 
-        `weight` is for an end whose weight is not always the same.
+        `weight` replaces the default change of the score for this result.
         """
-        if ending is Ending.SILENT:
+        if attempt_result is Ending.SILENT:
             return False
-        self.reached = ending is not Ending.UNREACHED
-        self._pace_trials(ending)
-        self._weigh_ages(ending, weight or 0)
+        self.reached = attempt_result is not Ending.UNREACHED
+        self._update_trials(attempt_result)
+        self._track_ages(attempt_result, weight or 0)
         if self.reached:
-            gain = SCORES[ending] if weight is None else weight
-            score = self.score + gain
+            change = SCORES[attempt_result] if weight is None else weight
+            score = self.score + change
             self.score = min(MOST_SCORE, max(0, score))
         else:
             self.score = MOST_SCORE
-        return self._judge(now)
+        return self._update_quarantine(now)
 
     def take_back(self, now: float, weight: float) -> bool:
-        """Drop the weight of an age: its request was answered after all.
+        """Subtract the weight of a request's age, since it was answered.
 
-        This guards against a crowd: requests that wait for their calls or for
-        a busy target grow old like those that hang, and a verdict that rests
-        on them would take slots away when they are short. Return whether the
-        verdict fell with it.
+        In an overload, requests that wait for their own calls or for a busy
+        target grow as old as those that hang; a quarantine for their age would
+        take slots away when they are scarce. Return whether this ended the
+        quarantine.
         """
         self.ages = max(0, self.ages - weight)
         if not self.shunned:
@@ -137,14 +142,14 @@
             return False
         if self.by_age:
             self.score = min(self.score, self.ages)
-        return self._judge(now)
+        return self._update_quarantine(now)
 
     def admits(self, now: float, plan: RequestPlan) -> bool:
-        """Tell whether a request may go to the target now."""
+        """Return whether a request may be sent to the target now."""
         if not self.shunned:
             return True
-        insists = plan.urgency >= Urgency.INSISTS
-        if insists and self.reached and self._is_worth(plan):
+        urgent = plan.urgency >= Urgency.INSISTS
+        if urgent and self.reached and self._is_likely_to_succeed(plan):
             return True
         if self.trials > self.streak:
             return False
@@ -154,29 +159,29 @@
         return now - max(self.since, self.tried) >= wait
 
     def wants_trial(self, now: float) -> bool:
-        """Tell whether a trial of a shunned target may begin now."""
+        """Return whether a trial of a quarantined target may begin now."""
         if self.trials > self.streak:
             return False
         return bool(self.streak) or now - self.tried >= self.pause
 
     def begin(self, now: float) -> None:
-        """Note that a request was let through."""
+        """Record that a request is sent to the target."""
         if self.shunned:
             self.tried = now
             self.trials += 1
 
     def end(self) -> None:
-        """Note that a request that was let through has ended."""
+        """Record that a request at the target has ended."""
         self.trials = max(0, self.trials - 1)
 
-    def _is_worth(self, plan: RequestPlan) -> bool:
-        """Tell whether a request that insists should be risked."""
-        presses = plan.urgency is Urgency.PRESSES
-        least = POOR_ODDS if presses else FAIR_ODDS
-        return plan.idempotent or self.odds >= least
+    def _is_likely_to_succeed(self, plan: RequestPlan) -> bool:
+        """Return whether a request is likely enough to succeed."""
+        most_urgent = plan.urgency is Urgency.PRESSES
+        minimum = POOR_ODDS if most_urgent else FAIR_ODDS
+        return plan.idempotent or self.odds >= minimum
 
-    def _pace_trials(self, ending: Ending) -> None:
-        good = ending is Ending.GOOD
+    def _update_trials(self, attempt_result: Ending) -> None:
+        good = attempt_result is Ending.GOOD
         self.odds += ODDS_GAIN * (good - self.odds)
         if good:
             self.streak += 1
@@ -186,24 +191,24 @@
         if self.shunned:
             self.pause = min(RAREST_TRIAL, 2 * self.pause)
 
-    def _weigh_ages(self, ending: Ending, weight: float) -> None:
-        """Keep apart what rests on ages alone."""
-        if ending is Ending.HUNG:
+    def _track_ages(self, attempt_result: Ending, weight: float) -> None:
+        """Track how much of the score rests on ages alone."""
+        if attempt_result is Ending.HUNG:
             self.ages += weight
             self.by_age |= not self.shunned
-        elif ending is not Ending.GOOD:
+        elif attempt_result is not Ending.GOOD:
             self.by_age = False
 
-    def _judge(self, now: float) -> bool:
-        was = self.shunned
-        bound = WELL_SCORE if was else SICK_SCORE
-        self.shunned = self.score > bound
-        if self.shunned is not was:
+    def _update_quarantine(self, now: float) -> bool:
+        before = self.shunned
+        threshold = WELL_SCORE if before else SICK_SCORE
+        self.shunned = self.score > threshold
+        if self.shunned is not before:
             self.since = now
-            if was:
+            if before:
                 self.ages = 0
             self.trials = 0
             self.streak = 0
             self.pause = TRIAL_EVERY
             self.odds = FIRST_ODDS
-        return self.shunned is not was
+        return self.shunned is not before
--- a/hillfield/gate/state.py
+++ b/hillfield/gate/state.py
@@ -1,4 +1,4 @@
-"""What the gate keeps of its target and of the requests for it."""
+"""State of a gate: its target, and the requests in flight and waiting."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -19,18 +19,18 @@
 from hillfield.routing.refusals import Cause, end_refused
 from hillfield.routing.requests import Refuse, Send
 
-# How much longer requests take at a target that is cold (site files). Without
-# it all targets are held back at once after a loss of power.
+# How many times longer requests take at a target that has started a short time
+# ago. Without it, all targets are quarantined at once after a loss of power.
 COLD_FACTOR: Final = 2.0
 
 
 @dataclass(slots=True)
 class GateState:
-    """Hold the parts that the gate decides with.
+    """Hold what the gate decides with.
 
-    `farewell` is the life that has said that it leaves, until another takes
-    the seat; `declined` are verdicts on what made way for others, not yet
-    handed on.
+    `left` is the incarnation that announced that it leaves, until another one
+    is served; `displaced` are refusals of waiting requests that gave way to
+    more urgent ones, until a poll returns them.
     """
 
     journal: Journal
@@ -50,14 +50,14 @@
 
     @property
     def target(self) -> Target | None:
-        """Return the target, if there is one to send to."""
+        """Return the target to send to, or None."""
         return None if self.seat is None else self.seat.target
 
     @property
     def in_flight(self) -> int:
-        """Return how many requests are at this life of the target.
+        """Count the requests at the served incarnation.
 
-        Those that an earlier life took have no slot of the present one.
+        Requests at an earlier incarnation hold no slot of the served one.
         """
         target = self.target
         if target is None:
@@ -68,7 +68,7 @@
         )
 
     def find_notice(self) -> LifeNotice | None:
-        """Return what is to be told of what the target says of itself."""
+        """Return what the target said about itself, for other nodes."""
         if self.seat is not None:
             rate = self.limit.rate
             return None if rate is None else LifeNotice(self.seat.life, rate)
@@ -79,32 +79,32 @@
         self,
         now: float,
         target: Target,
-        ending: Ending,
+        attempt_result: Ending,
         weight: float | None = None,
     ) -> None:
-        """Count how a request at the target ended."""
+        """Record the result of an attempt at the target."""
         seat = self.seat
         if seat is None or seat.target.id != target.id:
             return
-        if self.standing.note(now, ending, weight):
-            self._record_verdict(seat, f'last request {ending}')
+        if self.standing.note(now, attempt_result, weight):
+            self._record_quarantine(seat, f'last request {attempt_result}')
 
     def clear(self, now: float, attempt: AttemptRecord) -> None:
-        """Take back what a request's age has said: it was answered."""
+        """Retract the evidence of a request's age, since it was answered."""
         seat = self.seat
         if seat is None or seat.target.id != attempt.target.id:
             return
         if self.standing.take_back(now, attempt.weight):
-            self._record_verdict(seat, 'what took long was answered')
+            self._record_quarantine(seat, 'slow requests were answered')
 
     def note_answered(self, now: float, attempt: AttemptRecord) -> None:
-        """Note how long an answer took."""
+        """Record the duration of an answered attempt."""
         self.latency.note(now, now - attempt.started)
         duration = self.durations.find(attempt.record.arrival.plan)
         duration.note(self.find_work(now, attempt))
 
     def find_work(self, now: float, attempt: AttemptRecord) -> float:
-        """Return the seconds that a request has been at a warm target."""
+        """Return the age of an attempt, in seconds at a warmed-up target."""
         seconds = attempt.find_age(now)
         target = self.target
         if target is not None and target.state is TargetState.COLD:
@@ -117,17 +117,17 @@
         self.limit.take(now)
         plan = record.arrival.plan
         if not is_foreign(plan):
-            usual = self.durations.find(plan).find_quantile(0)
-            self.shares.charge(now, plan.account, usual)
+            expected = self.durations.find(plan).find_quantile(0)
+            self.shares.charge(now, plan.account, expected)
         return self.ledger.start(now, record, target)
 
     def refuse(self, record: RequestRecord, cause: Cause) -> Refuse:
-        """End a request; what is told follows from whether it was sent."""
+        """End a request; the outcome depends on whether it was sent."""
         failure = end_refused(self.ledger, record, cause)
         return Refuse(record.arrival.request, failure)
 
     def take_declined(self) -> tuple[Refuse, ...]:
-        """Hand on the verdicts on what made way for others."""
+        """Return and clear the refusals of displaced requests."""
         declined = tuple(self.declined)
         self.declined.clear()
         return declined
@@ -144,7 +144,7 @@
             ),
         )
 
-    def _record_verdict(self, seat: Seat, reason: str) -> None:
+    def _record_quarantine(self, seat: Seat, reason: str) -> None:
         code = EventCode.GATE_REOPENED
         if self.standing.shunned:
             code = EventCode.GATE_SHUNNED
--- a/hillfield/gate/suspicion.py
+++ b/hillfield/gate/suspicion.py
@@ -1,8 +1,8 @@
-"""What the ages of the requests at the target say of it.
+"""Evidence from the ages of the requests at the target.
 
-This answers targets that hang while their health is good. Each request that
-has no answer yet is evidence, the stronger the fewer requests of its route
-take so long; so the next ones are spared before any of them times out.
+It detects targets that hang while their health checks pass. Each request
+without an answer is evidence, the stronger the fewer requests of its route
+take so long. So work is withheld before any of these requests times out.
 """
 
 from math import log
@@ -12,26 +12,27 @@
 from hillfield.gate.state import GateState
 from hillfield.routing.records import AttemptRecord
 
-# The least share of requests that are believed to take any given time: 1 in
-# 100 takes several times as long as its route does (site files). So one
-# request alone never convicts a target.
+# Minimum share of requests that are assumed to take any given time: 1 in 100
+# takes several times as long as its route usually does. So no single request
+# quarantines a target.
 LEAST_SHARE: Final = 0.01
-# Part of the evidence that is counted: an age is looked at all the while, and
-# the worst moment of each request would tell against its target.
+# Part of the evidence of an age that counts: ages are checked all the time, so
+# each request would otherwise count with its most extreme moment.
 CAUTION: Final = 0.6
-# Share of a route's requests that take longer than a trial may, before it
-# counts as one that failed, and than a good answer that clears its target.
+# Share of a route's requests that take longer than a trial may before it
+# counts as failed, and longer than a good answer that is evidence of health.
 LATE_SHARE: Final = 0.03
-# Share of a route's requests that still take longer where nothing is said by
-# an end without an answer: the caller has left early.
+# Share of a route's requests that take longer than an attempt without an
+# answer that is no evidence: its caller has left early.
 EARLY_SHARE: Final = 0.5
-# The score of what is under way from which work that runs once goes elsewhere
-# if it can: such ages are 7 times likelier at a target that hangs.
+# Score of the attempts in flight from which requests that must not run twice
+# go to another target if they can: such ages are 7 times likelier at a target
+# that hangs.
 DOUBT_SCORE: Final = 1.2
 
 
 def weigh_running(state: GateState, now: float) -> float:
-    """Return what the ages of all that is under way add to the score."""
+    """Return what the ages of all attempts in flight add to the score."""
     return sum(
         weigh_age(state, now, attempt)
         for attempt in state.ledger.attempts.values()
@@ -40,29 +41,29 @@
 
 
 def weigh_age(state: GateState, now: float, attempt: AttemptRecord) -> float:
-    """Return how much likelier such an age is at a sick target, as a log."""
+    """Return the log likelihood ratio of an attempt's age."""
     share = max(LEAST_SHARE, find_share(state, now, attempt))
     likelihood = log((SICK_RATE + (1 - SICK_RATE) * share) / share)
     return CAUTION * state.ages.factor * likelihood
 
 
 def find_share(state: GateState, now: float, attempt: AttemptRecord) -> float:
-    """Return the share of the route's requests that take so long."""
+    """Return the share of the route's requests that take at least as long."""
     duration = state.durations.find(attempt.record.arrival.plan)
     return duration.survive(state.find_work(now, attempt))
 
 
 def judge_running(state: GateState, now: float) -> None:
-    """Count what has been at the target for too long."""
+    """Record the attempts that have taken too long."""
     if state.standing.shunned:
-        _judge_trials(state, now)
+        _check_trials(state, now)
     elif state.standing.score + weigh_running(state, now) > SICK_SCORE:
         for attempt in tuple(state.ledger.attempts.values()):
             count_age(state, now, attempt)
 
 
 def count_age(state: GateState, now: float, attempt: AttemptRecord) -> None:
-    """Count a request without an answer by its age, once."""
+    """Record an unanswered attempt by its age, once."""
     if attempt.hung:
         return
     attempt.hung = True
@@ -75,12 +76,12 @@
     now: float,
     attempt: AttemptRecord,
 ) -> None:
-    """Count a request that ended without an answer, unless it was early."""
+    """Record an attempt that ended without an answer, unless it ended early."""
     if find_share(state, now, attempt) < EARLY_SHARE:
         count_age(state, now, attempt)
 
 
-def _judge_trials(state: GateState, now: float) -> None:
+def _check_trials(state: GateState, now: float) -> None:
     for attempt in tuple(state.ledger.attempts.values()):
         if find_share(state, now, attempt) < LATE_SHARE:
             count_age(state, now, attempt)
--- a/hillfield/gate/telling.py
+++ b/hillfield/gate/telling.py
@@ -1,4 +1,4 @@
-"""What a gate tells of its target's room on each of its answers."""
+"""The header that reports a target's free capacity on each answer."""
 
 from functools import partial
 
@@ -11,13 +11,13 @@
 
 
 def add_room(settings: ProxySettings, gate: Gate) -> ProxySettings:
-    """Return the settings of a request path that tells of a gate's room."""
-    callers = replace(settings.callers, tell_room=partial(_tell, gate))
+    """Return settings of a request path that reports the gate's capacity."""
+    callers = replace(settings.callers, tell_room=partial(_write_header, gate))
     return replace(settings, callers=callers)
 
 
-def _tell(gate: Gate) -> str:
-    """Return the header's text; empty: there is no target to be used."""
+def _write_header(gate: Gate) -> str:
+    """Return the header's value; empty: no target to send to."""
     if gate.closing:
         return ''
     report = gate.report_on_answer(monotonic())
--- a/hillfield/gate/tests/test_order.py
+++ b/hillfield/gate/tests/test_order.py
@@ -128,14 +128,14 @@
     turns = arrange(ranks, had)
     least = min(rank.priority for rank in ranks)
     for call, rank in zip(turns, ranks, strict=True):
-        if not is_call(rank, shared=False):
+        if not is_call(rank, by_account=False):
             continue
         assert not any(
             other < call
             for other, new in zip(turns, ranks, strict=True)
             if new.late == rank.late
             and new.priority > least
-            and not is_call(new, shared=False)
+            and not is_call(new, by_account=False)
         )
 
 
