--- a/hillfield/gate/admission.py
+++ b/hillfield/gate/admission.py
@@ -5,14 +5,14 @@
 from msgspec.structs import replace
 
 from hillfield.events import EventCode
-from hillfield.gate.limit import show_rate
+from hillfield.gate.capacity import count_free_slots, estimate_wait
+from hillfield.gate.limit import format_rate
 from hillfield.gate.order import Rank
-from hillfield.gate.queue import Place
-from hillfield.gate.room import count_room, find_wait
-from hillfield.gate.shares import is_foreign
+from hillfield.gate.queue import QueuedRequest
 from hillfield.gate.state import GateState
-from hillfield.gate.suspicion import DOUBT_SCORE, weigh_running
-from hillfield.gate.waiting import describe_wait, find_bound
+from hillfield.gate.suspicion import SUSPICION_SCORE, score_running
+from hillfield.gate.usage import is_service_call
+from hillfield.gate.waiting import compute_wait_limit, describe_wait
 from hillfield.model import Step, Target, Urgency
 from hillfield.routing.phases import RequestTrigger
 from hillfield.routing.records import RequestRecord
@@ -20,7 +20,7 @@
 from hillfield.routing.requests import Arrival, Verdict, Wait
 
 # Seconds after which a refused request may be tried here again.
-COME_BACK: Final = 0.05
+RETRY_AFTER_SECONDS: Final = 0.05
 
 
 def _build_cause(
@@ -31,32 +31,32 @@
         event,
         Step.ADMIT,
         detail,
-        retry_after=COME_BACK,
+        retry_after=RETRY_AFTER_SECONDS,
     )
 
 
 LEFT: Final = _build_cause('the target has left')
-SHUNNED: Final = _build_cause(
+QUARANTINED: Final = _build_cause(
     'the target is quarantined',
     EventCode.TARGET_HELD_BACK,
 )
-DOUBTED: Final = _build_cause('the target is suspected')
+SUSPECTED: Final = _build_cause('the target is suspected')
 FULL: Final = _build_cause('all slots are taken')
-LATE: Final = _build_cause('no slot was free in time')
+EXPIRED: Final = _build_cause('no slot was free in time')
 LIMITED: Final = _build_cause('the target takes', EventCode.TARGET_LIMITED)
 OUTRANKED: Final = _build_cause('others go first')
 
 
 def admit(state: GateState, now: float, arrival: Arrival) -> Verdict:
     """Send a request, queue it, or refuse it: then it has not run."""
-    record = state.ledger.open(arrival)
+    record = state.table.open(arrival)
     target = state.target
     if target is None:
         return state.refuse(record, LEFT)
     cause = _find_refusal(state, now, record)
     if cause is not None:
         return state.refuse(record, cause)
-    if not len(state.queue) and count_room(state, now, target):
+    if not len(state.queue) and count_free_slots(state, now, target):
         return state.send(now, record, target)
     return _enqueue(state, now, record, target)
 
@@ -65,32 +65,32 @@
     """Send the waiting requests that have a slot; refuse the expired ones."""
     target = state.target
     if target is None:
-        waiting = state.queue.take_all()
+        waiting = state.queue.pop_all()
         left = tuple(state.refuse(record, LEFT) for record in waiting)
-        return (*state.take_declined(), *left)
+        return (*state.pop_displaced(), *left)
     decisions: list[Verdict] = [
         state.refuse(queued.record, _describe_expiry(now, queued))
-        for queued in state.queue.take_late(now)
+        for queued in state.queue.pop_expired(now)
     ]
-    while len(state.queue) and count_room(state, now, target):
-        record = state.queue.pop(state.shares.read(now))
+    while len(state.queue) and count_free_slots(state, now, target):
+        record = state.queue.pop(state.usage.list_usage(now))
         decisions.append(_serve(state, now, record, target))
-    return (*state.take_declined(), *decisions)
+    return (*state.pop_displaced(), *decisions)
 
 
-def _describe_expiry(now: float, queued: Place) -> Cause:
+def _describe_expiry(now: float, queued: QueuedRequest) -> Cause:
     wait_text = describe_wait(now, queued)
-    return replace(LATE, detail=f'{LATE.detail}, {wait_text}')
+    return replace(EXPIRED, detail=f'{EXPIRED.detail}, {wait_text}')
 
 
 def _describe_full(state: GateState, now: float, wait: float) -> Cause:
     """Say whether the slots or the target's rate limit allow no request."""
     rate = state.limit.rate
-    limit_wait = state.limit.find_wait(now, len(state.queue))
+    limit_wait = state.limit.estimate_wait(now, len(state.queue))
     if rate is None or limit_wait < wait:
         return replace(FULL, retry_after=wait)
     state.limit.declined += 1
-    detail = f'{LIMITED.detail} {show_rate(rate)}'
+    detail = f'{LIMITED.detail} {format_rate(rate)}'
     return replace(LIMITED, detail=detail, retry_after=wait)
 
 
@@ -113,11 +113,11 @@
 ) -> Cause | None:
     """Return why the request should not be sent to the target, or None."""
     plan = record.arrival.plan
-    if not state.standing.admits(now, plan):
-        return SHUNNED
+    if not state.health.admits(now, plan):
+        return QUARANTINED
     if plan.idempotent or plan.urgency >= Urgency.SETTLES:
         return None
-    return DOUBTED if weigh_running(state, now) > DOUBT_SCORE else None
+    return SUSPECTED if score_running(state, now) > SUSPICION_SCORE else None
 
 
 def _enqueue(
@@ -127,7 +127,7 @@
     target: Target,
 ) -> Verdict:
     rank, wait = _compute_rank(state, now, record, target)
-    wait_limit = find_bound(now, record, rank.cost)
+    wait_limit = compute_wait_limit(now, record, rank.cost)
     if wait > wait_limit:
         return state.refuse(record, _describe_full(state, now, wait))
     record.follow(RequestTrigger.QUEUE)
@@ -143,15 +143,15 @@
     It is declined at once, so that the node of its caller still has time to
     choose another target.
     """
-    last = state.queue.find_last(state.shares.read(now))
+    last = state.queue.select_displaced(state.usage.list_usage(now))
     if last is None:
         return
     ahead, queued = last
-    wait = find_wait(state, now, target, ahead)
-    if now + wait > queued.until:
+    wait = estimate_wait(state, now, target, ahead)
+    if now + wait > queued.wait_until:
         state.queue.remove(queued.record)
         cause = replace(OUTRANKED, retry_after=wait)
-        state.declined.append(state.refuse(queued.record, cause))
+        state.displaced.append(state.refuse(queued.record, cause))
 
 
 def _compute_rank(
@@ -162,20 +162,20 @@
 ) -> tuple[Rank, float]:
     """Return the request's rank, and the seconds that it would wait."""
     plan = record.arrival.plan
-    usage = state.shares.read(now)
+    usage = state.usage.list_usage(now)
     duration = state.durations.find(plan).find_quantile(0)
     rank = Rank(
         long=not state.durations.is_quick(plan, state.latency.mean),
         priority=plan.priority,
         expires=record.arrival.expires,
         account=plan.account,
-        foreign=is_foreign(plan),
+        service_call=is_service_call(plan),
         cost=duration,
     )
     ahead_in_time = state.queue.count_ahead(rank, usage)
-    wait = find_wait(state, now, target, ahead_in_time)
+    wait = estimate_wait(state, now, target, ahead_in_time)
     if not plan.aim or plan.spent + wait + duration <= plan.aim:
         return rank, wait
     late_rank = replace(rank, late=True)
     ahead = state.queue.count_ahead(late_rank, usage)
-    return late_rank, find_wait(state, now, target, ahead)
+    return late_rank, estimate_wait(state, now, target, ahead)
--- a/hillfield/gate/calls.py
+++ b/hillfield/gate/calls.py
@@ -11,9 +11,9 @@
 
     >>> calls = FailedCalls()
     >>> calls.note(10.0, 'fees')
-    >>> calls.excuse(9.5, 'refunds'), calls.excuse(10.5, 'refunds')
+    >>> calls.explains_failure(9.5, 'refunds'), calls.explains_failure(10.5, 'refunds')
     (True, False)
-    >>> calls.excuse(9.5, 'fees')
+    >>> calls.explains_failure(9.5, 'fees')
     False
     """
 
@@ -25,7 +25,7 @@
         """Record that a request to a service has failed."""
         self._last_failures[service] = now
 
-    def excuse(self, since: float, service: str) -> bool:
+    def explains_failure(self, since: float, service: str) -> bool:
         """Return whether a request to any other service has failed since."""
         return any(
             failed >= since
--- a/hillfield/gate/room.py
+++ b/hillfield/gate/capacity.py
@@ -6,22 +6,22 @@
 from hillfield.model import Target
 
 # Seconds that an attempt is assumed to take before any has been measured.
-FIRST_NEED: Final = 0.02
+INITIAL_DURATION: Final = 0.02
 
 
-def find_need(state: GateState) -> float:
+def estimate_duration(state: GateState) -> float:
     """Return the mean seconds that an attempt takes."""
-    return state.latency.mean or FIRST_NEED
+    return state.latency.mean or INITIAL_DURATION
 
 
-def count_room(state: GateState, now: float, target: Target) -> int:
+def count_free_slots(state: GateState, now: float, target: Target) -> int:
     """Return how many requests may be sent now, by slots and rate limit."""
     free = max(0, target.slots - state.in_flight)
-    tokens = state.limit.count_turns(now)
+    tokens = state.limit.count_tokens(now)
     return free if tokens is None else min(free, tokens)
 
 
-def find_wait(
+def estimate_wait(
     state: GateState,
     now: float,
     target: Target,
@@ -33,16 +33,20 @@
     for the lowest rank).
     """
     waiting = len(state.queue) if ahead is None else ahead
-    slot = (waiting + 1) * find_need(state) / count_usable(state, target)
-    return max(slot, state.limit.find_wait(now, waiting))
+    slot = (
+        (waiting + 1)
+        * estimate_duration(state)
+        / count_usable_slots(state, target)
+    )
+    return max(slot, state.limit.estimate_wait(now, waiting))
 
 
-def count_usable(state: GateState, target: Target) -> int:
+def count_usable_slots(state: GateState, target: Target) -> int:
     """Return the number of slots whose requests do not hang, at least 1.
 
     That no slot is usable is expressed by the withheld work instead.
     """
-    attempts = state.ledger.attempts.values()
+    attempts = state.table.attempts.values()
     hung = sum(
         attempt.hung for attempt in attempts if attempt.target.id == target.id
     )
--- a/hillfield/gate/completion.py
+++ b/hillfield/gate/completion.py
@@ -3,13 +3,13 @@
 from typing import Final
 
 from hillfield.crashes import Run
-from hillfield.gate.endings import is_success, read_ending
-from hillfield.gate.standing import Ending
+from hillfield.gate.health import AttemptResult
+from hillfield.gate.results import is_success, read_result
 from hillfield.gate.state import GateState
 from hillfield.gate.suspicion import (
     LATE_SHARE,
-    count_unanswered,
-    find_share,
+    compute_survival,
+    record_unanswered,
 )
 from hillfield.routing.phases import (
     AttemptAction,
@@ -33,7 +33,7 @@
         AttemptTrigger.TIMED_OUT,
     ),
 )
-DOUBTFUL: Final = frozenset((AttemptAction.DOUBT, AttemptAction.ABANDON))
+UNCERTAIN: Final = frozenset((AttemptAction.DOUBT, AttemptAction.ABANDON))
 
 
 def finish(
@@ -47,28 +47,28 @@
     classified = read_observation(observation)
     written = attempt.phase is not AttemptPhase.CONNECTING
     if written and classified.trigger in WITHOUT_ANSWER:
-        state.lost.note(make_run(now, attempt))
+        state.lost_runs.note(build_run(now, attempt))
     action = attempt.follow(classified.trigger)
-    state.ledger.close(attempt)
-    state.standing.end()
+    state.table.close(attempt)
+    state.health.record_end()
     _record_result(state, now, attempt, observation)
     if classified.trigger is AttemptTrigger.ANSWERED:
-        state.note_answered(now, attempt)
+        state.record_answered(now, attempt)
     if record.has_ended():
         return Done(record.arrival.request)
     if action is AttemptAction.SETTLE:
-        state.ledger.end(record, RequestTrigger.SETTLE)
+        state.table.end(record, RequestTrigger.SETTLE)
         return Done(record.arrival.request)
     if classified.trigger is AttemptTrigger.GONE:
-        state.ledger.end(record, RequestTrigger.LEAVE)
+        state.table.end(record, RequestTrigger.LEAVE)
         return Done(record.arrival.request)
-    if action in DOUBTFUL:
+    if action in UNCERTAIN:
         record.follow(RequestTrigger.DOUBT)
     record.peer = str(attempt.target.id.address)
     return state.refuse(record, describe_reading(classified))
 
 
-def make_run(now: float, attempt: AttemptRecord) -> Run:
+def build_run(now: float, attempt: AttemptRecord) -> Run:
     """Return the run to remember for an attempt without an answer."""
     return Run(
         attempt.record.arrival.fingerprint,
@@ -88,8 +88,8 @@
     answered = is_success(observation)
     if not (answered or isinstance(observation, TimedOut)):
         return
-    if find_share(state, now, attempt) < LATE_SHARE:
-        state.ages.note(answered)
+    if compute_survival(state, now, attempt) < LATE_SHARE:
+        state.age_reliability.record(answered)
 
 
 def _record_result(
@@ -102,30 +102,30 @@
     _record_age(state, now, attempt, observation)
     if attempt.hung:
         if is_success(observation):
-            state.clear(now, attempt)
+            state.retract_age(now, attempt)
         return
-    attempt_result = read_ending(observation)
-    if attempt_result is Ending.SILENT:
-        count_unanswered(state, now, attempt)
+    attempt_result = read_result(observation)
+    if attempt_result is AttemptResult.NO_EVIDENCE:
+        record_unanswered(state, now, attempt)
     elif _is_inconclusive(state, now, attempt, attempt_result):
         return
     else:
-        state.judge(now, attempt.target, attempt_result)
+        state.record_result(now, attempt.target, attempt_result)
 
 
 def _is_inconclusive(
     state: GateState,
     now: float,
     attempt: AttemptRecord,
-    attempt_result: Ending,
+    attempt_result: AttemptResult,
 ) -> bool:
     """Return whether a result is no evidence of the target's health.
 
     An error may be due to a failed call that the target made, and a good
     answer may have come very late.
     """
-    if attempt_result is Ending.FAILED:
+    if attempt_result is AttemptResult.FAILED:
         service = attempt.target.id.service
-        return state.calls.excuse(attempt.started, service)
-    late = find_share(state, now, attempt) < LATE_SHARE
-    return attempt_result is Ending.GOOD and late
+        return state.failed_calls.explains_failure(attempt.started, service)
+    late = compute_survival(state, now, attempt) < LATE_SHARE
+    return attempt_result is AttemptResult.GOOD and late
--- a/hillfield/gate/gate.py
+++ b/hillfield/gate/gate.py
@@ -11,11 +11,11 @@
 from hillfield.gate.admission import admit, serve_queue
 from hillfield.gate.calls import FailedCalls
 from hillfield.gate.completion import finish
-from hillfield.gate.endings import is_success
-from hillfield.gate.hearing import tell_kept
+from hillfield.gate.notices import record_limit_counts
 from hillfield.gate.occupancy import GateSeat
+from hillfield.gate.results import is_success
 from hillfield.gate.state import GateState
-from hillfield.gate.suspicion import judge_running
+from hillfield.gate.suspicion import check_running
 from hillfield.model import RequestPlan
 from hillfield.routing.phases import RequestTrigger
 from hillfield.routing.requests import (
@@ -27,7 +27,6 @@
     Verdict,
 )
 
-
 GateListener = Callable[[float], None]
 
 
@@ -47,7 +46,7 @@
     @property
     def calls(self) -> FailedCalls:
         """Return the record of failed requests that began on this host."""
-        return self._state.calls
+        return self._state.failed_calls
 
     def for_service(self, service: str) -> 'Gate':
         """Return this gate: it serves only one target."""
@@ -66,7 +65,7 @@
         observation: Observation,
     ) -> Verdict:
         """End an attempt and decide what the other node is told."""
-        attempt_record = self._state.ledger.find(attempt)
+        attempt_record = self._state.table.find(attempt)
         if attempt_record is None:
             return Done('')
         decision = finish(self._state, now, attempt_record, observation)
@@ -85,19 +84,19 @@
 
     def leave(self, now: float, request: str) -> None:
         """Drop a waiting request whose caller has left."""
-        record = self._state.ledger.requests.get(request)
+        record = self._state.table.requests.get(request)
         if record is not None:
             self._state.queue.remove(record)
-            self._state.ledger.end(record, RequestTrigger.LEAVE)
+            self._state.table.end(record, RequestTrigger.LEAVE)
 
     def excuse(self, now: float, seconds: float) -> None:
         """Discount a pause of this process from the ages of the attempts."""
-        self._state.ledger.excuse(now, seconds)
+        self._state.table.excuse(now, seconds)
 
     def poll(self, now: float) -> tuple[Verdict, ...]:
         """Return decisions on waiting requests; call after finish, in ticks."""
-        judge_running(self._state, now)
-        tell_kept(self._state, now)
+        check_running(self._state, now)
+        record_limit_counts(self._state, now)
         decisions = serve_queue(self._state, now)
         self.listener(now)
         return decisions
@@ -107,7 +106,7 @@
 
         None: the queue moves only at the end of an attempt or in a tick.
         """
-        return 0 if self._state.declined else None
+        return 0 if self._state.displaced else None
 
 
 def _ignore(now: float) -> None:
--- a/hillfield/gate/standing.py
+++ b/hillfield/gate/health.py
@@ -16,7 +16,7 @@
 from hillfield.model import RequestPlan, Urgency
 
 
-class Ending(StrEnum):
+class AttemptResult(StrEnum):
     """Name the result of an attempt, as evidence of the target's health.
 
     `BROKEN`: the connection was lost or the answer was malformed; `FAILED`:
@@ -29,59 +29,61 @@
     FAILED = 'failed'
     BROKEN = 'broken'
     HUNG = 'hung'
-    UNREACHED = 'unreached'
-    SILENT = 'silent'
+    UNREACHABLE = 'unreached'
+    NO_EVIDENCE = 'silent'
 
 
 # Share of requests that fail at an unhealthy target: 45 to 85 in 100 were
 # measured.
-SICK_RATE: Final = 0.6
+UNHEALTHY_FAILURE_RATE: Final = 0.6
 # Shares of requests that fail at a healthy target: some 2 in 100 answers are
 # errors, mostly of calls that the target made; broken connections are far
 # rarer.
-ERROR_RATE: Final = 0.03
-BREAK_RATE: Final = 0.004
-HANG_RATE: Final = 0.02
-SCORES: Final[Mapping[Ending, float]] = MappingProxyType(
+HEALTHY_ERROR_RATE: Final = 0.03
+HEALTHY_BREAK_RATE: Final = 0.004
+HEALTHY_HANG_RATE: Final = 0.02
+SCORE_CHANGES: Final[Mapping[AttemptResult, float]] = MappingProxyType(
     {
-        Ending.GOOD: log((1 - SICK_RATE) / (1 - ERROR_RATE)),
-        Ending.FAILED: log(SICK_RATE / ERROR_RATE),
-        Ending.BROKEN: log(SICK_RATE / BREAK_RATE),
-        Ending.HUNG: log(SICK_RATE / HANG_RATE),
+        AttemptResult.GOOD: log(
+            (1 - UNHEALTHY_FAILURE_RATE) / (1 - HEALTHY_ERROR_RATE)
+        ),
+        AttemptResult.FAILED: log(UNHEALTHY_FAILURE_RATE / HEALTHY_ERROR_RATE),
+        AttemptResult.BROKEN: log(UNHEALTHY_FAILURE_RATE / HEALTHY_BREAK_RATE),
+        AttemptResult.HUNG: log(UNHEALTHY_FAILURE_RATE / HEALTHY_HANG_RATE),
     },
 )
 # Reached by one broken connection, or by two errors in a row.
-SICK_SCORE: Final = 4.5
-MOST_SCORE: Final = 5.1
-# Score at which quarantine ends: four good answers in a row, which an
-# unhealthy target gives in 3 of 100 cases.
-WELL_SCORE: Final = 1.6
+QUARANTINE_SCORE: Final = 4.5
+MAXIMUM_SCORE: Final = 5.1
+# Score at which quarantine ends: reached by four good answers in a row, which
+# an unhealthy target gives in 3 of 100 cases.
+RECOVERY_SCORE: Final = 1.6
 # Seconds between trials of a quarantined target until one succeeds; doubled
 # after each failed trial. Each trial that fails costs a retry: eight unhealthy
 # targets, each tried every 0.15 s, used up the retry budget of a fleet of 21
 # hosts.
-TRIAL_EVERY: Final = 0.15
-RAREST_TRIAL: Final = 1.0
+TRIAL_INTERVAL: Final = 0.15
+MAXIMUM_TRIAL_INTERVAL: Final = 1.0
 # Success share at a quarantined target, for requests that must not run twice:
 # the initial estimate, the weight of each further result, and the share from
 # which such a request is sent when no other target takes it. Targets that
 # reset 40 in 100 connections still serve, those that reset 85 in 100 hardly
 # do.
-FIRST_ODDS: Final = 0.25
-ODDS_GAIN: Final = 0.3
-FAIR_ODDS: Final = 0.4
+INITIAL_SUCCESS_SHARE: Final = 0.25
+SUCCESS_SHARE_GAIN: Final = 0.3
+FAIR_SUCCESS_SHARE: Final = 0.4
 # The share from which such a request is sent when no target has taken it for
 # long. Below it, an answer that it has not run serves the caller better.
-POOR_ODDS: Final = 0.2
+POOR_SUCCESS_SHARE: Final = 0.2
 # Seconds without a trial after which a quarantined target is tried by an
 # idempotent request that has no retry left, and by any request. Targets fail
 # for about 5 s at a time.
-LONG_SHUN: Final = 0.5
-LONGEST_SHUN: Final = 3.0
+IDEMPOTENT_TRIAL_DELAY: Final = 0.5
+ANY_TRIAL_DELAY: Final = 3.0
 
 
 @dataclass(slots=True)
-class Standing:
+class HealthScore:
     """Score the health of one incarnation of a target; times are seconds.
 
     `reachable` says whether the last connection could be made; `successes`
@@ -94,41 +96,41 @@
     """
 
     score: float = 0
-    shunned: bool = False
-    reached: bool = True
-    since: float = 0
-    tried: float = float('-inf')
-    trials: int = 0
-    streak: int = 0
-    pause: float = TRIAL_EVERY
-    odds: float = FIRST_ODDS
-    ages: float = 0
-    by_age: bool = False
-
-    def note(
+    quarantined: bool = False
+    reachable: bool = True
+    changed_at: float = 0
+    last_trial: float = float('-inf')
+    running_trials: int = 0
+    successes: int = 0
+    trial_interval: float = TRIAL_INTERVAL
+    success_share: float = INITIAL_SUCCESS_SHARE
+    age_score: float = 0
+    only_by_age: bool = False
+
+    def record(
         self,
         now: float,
-        attempt_result: Ending,
+        attempt_result: AttemptResult,
         weight: float | None = None,
     ) -> bool:
         """Record the result of an attempt; return whether quarantine changed.
 
         `weight` replaces the default change of the score for this result.
         """
-        if attempt_result is Ending.SILENT:
+        if attempt_result is AttemptResult.NO_EVIDENCE:
             return False
-        self.reached = attempt_result is not Ending.UNREACHED
+        self.reachable = attempt_result is not AttemptResult.UNREACHABLE
         self._update_trials(attempt_result)
         self._track_ages(attempt_result, weight or 0)
-        if self.reached:
-            change = SCORES[attempt_result] if weight is None else weight
+        if self.reachable:
+            change = SCORE_CHANGES[attempt_result] if weight is None else weight
             score = self.score + change
-            self.score = min(MOST_SCORE, max(0, score))
+            self.score = min(MAXIMUM_SCORE, max(0, score))
         else:
-            self.score = MOST_SCORE
+            self.score = MAXIMUM_SCORE
         return self._update_quarantine(now)
 
-    def take_back(self, now: float, weight: float) -> bool:
+    def retract_age(self, now: float, weight: float) -> bool:
         """Subtract the weight of a request's age, since it was answered.
 
         In an overload, requests that wait for their own calls or for a busy
@@ -136,79 +138,84 @@
         take slots away when they are scarce. Return whether this ended the
         quarantine.
         """
-        self.ages = max(0, self.ages - weight)
-        if not self.shunned:
+        self.age_score = max(0, self.age_score - weight)
+        if not self.quarantined:
             self.score = max(0, self.score - weight)
             return False
-        if self.by_age:
-            self.score = min(self.score, self.ages)
+        if self.only_by_age:
+            self.score = min(self.score, self.age_score)
         return self._update_quarantine(now)
 
     def admits(self, now: float, plan: RequestPlan) -> bool:
         """Return whether a request may be sent to the target now."""
-        if not self.shunned:
+        if not self.quarantined:
             return True
         urgent = plan.urgency >= Urgency.INSISTS
-        if urgent and self.reached and self._is_likely_to_succeed(plan):
+        if urgent and self.reachable and self._is_likely_to_succeed(plan):
             return True
-        if self.trials > self.streak:
+        if self.running_trials > self.successes:
             return False
         if plan.trial:
-            return self.wants_trial(now)
-        wait = LONG_SHUN if plan.idempotent else LONGEST_SHUN
-        return now - max(self.since, self.tried) >= wait
+            return self.is_trial_due(now)
+        wait = IDEMPOTENT_TRIAL_DELAY if plan.idempotent else ANY_TRIAL_DELAY
+        return now - max(self.changed_at, self.last_trial) >= wait
 
-    def wants_trial(self, now: float) -> bool:
+    def is_trial_due(self, now: float) -> bool:
         """Return whether a trial of a quarantined target may begin now."""
-        if self.trials > self.streak:
+        if self.running_trials > self.successes:
             return False
-        return bool(self.streak) or now - self.tried >= self.pause
+        return (
+            bool(self.successes) or now - self.last_trial >= self.trial_interval
+        )
 
-    def begin(self, now: float) -> None:
+    def record_start(self, now: float) -> None:
         """Record that a request is sent to the target."""
-        if self.shunned:
-            self.tried = now
-            self.trials += 1
+        if self.quarantined:
+            self.last_trial = now
+            self.running_trials += 1
 
-    def end(self) -> None:
+    def record_end(self) -> None:
         """Record that a request at the target has ended."""
-        self.trials = max(0, self.trials - 1)
+        self.running_trials = max(0, self.running_trials - 1)
 
     def _is_likely_to_succeed(self, plan: RequestPlan) -> bool:
         """Return whether a request is likely enough to succeed."""
         most_urgent = plan.urgency is Urgency.PRESSES
-        minimum = POOR_ODDS if most_urgent else FAIR_ODDS
-        return plan.idempotent or self.odds >= minimum
+        minimum = POOR_SUCCESS_SHARE if most_urgent else FAIR_SUCCESS_SHARE
+        return plan.idempotent or self.success_share >= minimum
 
-    def _update_trials(self, attempt_result: Ending) -> None:
-        good = attempt_result is Ending.GOOD
-        self.odds += ODDS_GAIN * (good - self.odds)
+    def _update_trials(self, attempt_result: AttemptResult) -> None:
+        good = attempt_result is AttemptResult.GOOD
+        self.success_share += SUCCESS_SHARE_GAIN * (good - self.success_share)
         if good:
-            self.streak += 1
-            self.pause = TRIAL_EVERY
+            self.successes += 1
+            self.trial_interval = TRIAL_INTERVAL
             return
-        self.streak = 0
-        if self.shunned:
-            self.pause = min(RAREST_TRIAL, 2 * self.pause)
-
-    def _track_ages(self, attempt_result: Ending, weight: float) -> None:
+        self.successes = 0
+        if self.quarantined:
+            self.trial_interval = min(
+                MAXIMUM_TRIAL_INTERVAL,
+                2 * self.trial_interval,
+            )
+
+    def _track_ages(self, attempt_result: AttemptResult, weight: float) -> None:
         """Track how much of the score rests on ages alone."""
-        if attempt_result is Ending.HUNG:
-            self.ages += weight
-            self.by_age |= not self.shunned
-        elif attempt_result is not Ending.GOOD:
-            self.by_age = False
+        if attempt_result is AttemptResult.HUNG:
+            self.age_score += weight
+            self.only_by_age |= not self.quarantined
+        elif attempt_result is not AttemptResult.GOOD:
+            self.only_by_age = False
 
     def _update_quarantine(self, now: float) -> bool:
-        before = self.shunned
-        threshold = WELL_SCORE if before else SICK_SCORE
-        self.shunned = self.score > threshold
-        if self.shunned is not before:
-            self.since = now
+        before = self.quarantined
+        threshold = RECOVERY_SCORE if before else QUARANTINE_SCORE
+        self.quarantined = self.score > threshold
+        if self.quarantined is not before:
+            self.changed_at = now
             if before:
-                self.ages = 0
-            self.trials = 0
-            self.streak = 0
-            self.pause = TRIAL_EVERY
-            self.odds = FIRST_ODDS
-        return self.shunned is not before
+                self.age_score = 0
+            self.running_trials = 0
+            self.successes = 0
+            self.trial_interval = TRIAL_INTERVAL
+            self.success_share = INITIAL_SUCCESS_SHARE
+        return self.quarantined is not before
--- a/hillfield/gate/hop.py
+++ b/hillfield/gate/hop.py
@@ -39,17 +39,17 @@
 )
 
 # Header fields are bytes, which HTTP libraries represent in this encoding.
-WIRE: Final = 'latin-1'
+HEADER_ENCODING: Final = 'latin-1'
 STEP: Final = 'Hillfield-Step'
 EVENT: Final = 'Hillfield-Event'
-HELD_BACK: Final = str(int(EventCode.TARGET_HELD_BACK))
+TARGET_HELD_BACK: Final = str(int(EventCode.TARGET_HELD_BACK))
 # Steps of a gate before the first byte goes to its target.
 BEFORE_SENDING: Final = frozenset(
     (Step.READ_REQUEST, Step.ROUTE, Step.ADMIT, Step.CONNECT),
 )
 
 
-class HopOrder(Struct, frozen=True, array_like=True):
+class HopInstructions(Struct, frozen=True, array_like=True):
     """Hold which incarnation a request is for, and how it is treated.
 
     `incarnation` is that of the target, `origin` the service on whose host the
@@ -73,24 +73,24 @@
     aim: float = 0
     spent: float = 0
     account: str = ''
-    told: LifeNotice | None = None
+    notice: LifeNotice | None = None
 
 
-_DECODER: Final = Decoder(HopOrder)
+_DECODER: Final = Decoder(HopInstructions)
 
 
-def write_hop(order: HopOrder) -> str:
+def write_hop(order: HopInstructions) -> str:
     """Return the header's value.
 
-    >>> write_hop(HopOrder('claims', 7, 1, 'desk', True))
+    >>> write_hop(HopInstructions('claims', 7, 1, 'desk', True))
     '["claims",7,1,"desk",true,false,0,"",0,0,""]'
-    >>> read_hop(write_hop(HopOrder('leit', 7, 1, 'skrá'))).ok.origin
+    >>> read_hop(write_hop(HopInstructions('leit', 7, 1, 'skrá'))).ok.origin
     'skrá'
     """
-    return encode_row(order).decode(WIRE)
+    return encode_row(order).decode(HEADER_ENCODING)
 
 
-def read_hop(text: str) -> Result[HopOrder, str]:
+def read_hop(text: str) -> Result[HopInstructions, str]:
     """Parse the header's value; the error says what is wrong.
 
     >>> read_hop('["claims",7,1,"desk"]').ok.incarnation
@@ -99,7 +99,7 @@
     True
     """
     try:
-        return Ok(_DECODER.decode(text.encode(WIRE)))
+        return Ok(_DECODER.decode(text.encode(HEADER_ENCODING)))
     except (MsgspecError, UnicodeError) as error:
         return Error(str(error))
 
@@ -116,7 +116,7 @@
     ) -> None:
         """Add the remaining time and the instructions for the gate."""
         fields.add(DEADLINE, show_milliseconds(remaining))
-        order = HopOrder(
+        order = HopInstructions(
             send.target.service,
             send.target.incarnation,
             plan.priority,
@@ -189,4 +189,4 @@
     It does if it withholds work from its target, or serves another
     incarnation.
     """
-    return step == Step.ROUTE or headers.get(EVENT) == HELD_BACK
+    return step == Step.ROUTE or headers.get(EVENT) == TARGET_HELD_BACK
--- a/hillfield/gate/limit.py
+++ b/hillfield/gate/limit.py
@@ -12,14 +12,14 @@
 # Seconds of the limit that tokens may be saved up for while fewer requests
 # come: as much as a request may wait here, so that a gap between two requests
 # wastes no token.
-SAVED_SECONDS: Final = 0.5
+BURST_SECONDS: Final = 0.5
 # Minimum rate in requests a second: with none at all, the gate would never
 # learn that the limit has ended. One each 4 s is within what a limit of 0
 # permits.
-LEAST_RATE: Final = 0.25
+MINIMUM_RATE: Final = 0.25
 SHOWN_DIGITS: Final = 3
 # Seconds between two log entries on what the limit has done.
-TOLD_EVERY: Final = 4.0
+SUMMARY_INTERVAL: Final = 4.0
 
 
 class RateLimit:
@@ -29,12 +29,12 @@
     requests that the limit has let through and refused since the last summary.
 
     >>> limit = RateLimit()
-    >>> limit.hear(0, 0, 2.0)
+    >>> limit.apply_notice(0, 0, 2.0)
     True
-    >>> limit.count_turns(0.4), limit.count_turns(0.5)
+    >>> limit.count_tokens(0.4), limit.count_tokens(0.5)
     (0, 1)
-    >>> limit.take(0.5)
-    >>> limit.find_wait(0.5, ahead=1)
+    >>> limit.consume(0.5)
+    >>> limit.estimate_wait(0.5, ahead=1)
     1.0
     """
 
@@ -48,7 +48,12 @@
         self._bucket = Bucket(1, 0)
         self._refilled_at: float = 0
 
-    def hear(self, now: float, began: float, rate: float | None) -> bool:
+    def apply_notice(
+        self,
+        now: float,
+        began: float,
+        rate: float | None,
+    ) -> bool:
         """Apply the limit of an answer; return whether the limit has changed.
 
         `began` is when the answer's request was sent. Answers overlap, so a
@@ -60,7 +65,7 @@
         self._received_at = now
         return self._adopt(now, rate, tokens=0)
 
-    def adopt_told(self, now: float, rate: float) -> bool:
+    def adopt_forwarded(self, now: float, rate: float) -> bool:
         """Apply a limit that another node received; return if it was adopted.
 
         It may be old, so it applies only until the target itself has answered:
@@ -70,7 +75,7 @@
             return False
         return self._adopt(now, max(0, rate), tokens=1)
 
-    def take(self, now: float) -> None:
+    def consume(self, now: float) -> None:
         """Consume a token for a request that is sent."""
         if self.rate is None:
             return
@@ -78,14 +83,14 @@
         self.sent += 1
         self._bucket.take()
 
-    def count_turns(self, now: float) -> int | None:
+    def count_tokens(self, now: float) -> int | None:
         """Return how many requests may be sent at once; None: no limit."""
         if self.rate is None:
             return None
         self._refill(now)
         return int(self._bucket.tokens)
 
-    def find_wait(self, now: float, ahead: int) -> float:
+    def estimate_wait(self, now: float, ahead: int) -> float:
         """Return the seconds until a request behind `ahead` others is sent."""
         if self.rate is None:
             return 0
@@ -93,13 +98,13 @@
         missing = ahead + 1 - self._bucket.tokens
         return max(0, missing / self._compute_rate())
 
-    def tell(self, now: float) -> str:
+    def summarize(self, now: float) -> str:
         """Return a summary of the limit's effect; empty: none is due."""
         seconds = now - self._counted_since
-        if self.rate is None or seconds < TOLD_EVERY:
+        if self.rate is None or seconds < SUMMARY_INTERVAL:
             return ''
         counts = f'{self.sent} sent, {self.declined} declined'
-        summary = f'{show_rate(self.rate)}: {counts} in {seconds:.1f} s'
+        summary = f'{format_rate(self.rate)}: {counts} in {seconds:.1f} s'
         idle = not (self.sent or self.declined)
         self._reset_counts(now)
         return '' if idle else summary
@@ -118,7 +123,7 @@
             self._bucket.tokens = tokens
         self._refill(now)
         self.rate = rate
-        self._bucket.bound(max(1, SAVED_SECONDS * self._compute_rate()))
+        self._bucket.bound(max(1, BURST_SECONDS * self._compute_rate()))
         return True
 
     def _refill(self, now: float) -> None:
@@ -128,13 +133,13 @@
         self._refilled_at = now
 
     def _compute_rate(self) -> float:
-        return max(LEAST_RATE, self.rate or 0)
+        return max(MINIMUM_RATE, self.rate or 0)
 
 
-def show_rate(rate: float) -> str:
+def format_rate(rate: float) -> str:
     """Return a limit as text for people.
 
-    >>> show_rate(2.4)
+    >>> format_rate(2.4)
     '2.4 requests a second'
     """
     return f'{round(rate, SHOWN_DIGITS)} requests a second'
--- a/hillfield/gate/notes.py
+++ b/hillfield/gate/notes.py
@@ -5,8 +5,8 @@
 
 from hillfield.crashes import Run, TargetEnd
 from hillfield.events import EventCode, Occurrence
-from hillfield.gate.hearing import hear
-from hillfield.gate.reporting import report_load
+from hillfield.gate.notices import apply_notice
+from hillfield.gate.reporting import build_report
 from hillfield.gate.state import GateState
 from hillfield.loadreports.reports import LoadReport
 from hillfield.model import TargetId, TargetNotice
@@ -40,13 +40,13 @@
 
     def note_written(self, now: float, attempt: int) -> None:
         """Record that the attempt's first byte is about to be written."""
-        attempt_record = self._state.ledger.find(attempt)
+        attempt_record = self._state.table.find(attempt)
         if attempt_record is not None:
             attempt_record.follow(AttemptTrigger.WRITE)
 
     def note_head(self, now: float, attempt: int) -> None:
         """Record that the head of the attempt's answer has been received."""
-        attempt_record = self._state.ledger.find(attempt)
+        attempt_record = self._state.table.find(attempt)
         if attempt_record is not None:
             attempt_record.follow(AttemptTrigger.HEAD)
 
@@ -60,9 +60,12 @@
         notice: TargetNotice,
     ) -> None:
         """Apply what the target says about itself in an attempt's answer."""
-        attempt_record = self._state.ledger.find(attempt)
-        if attempt_record is not None and hear(
-            self._state, now, attempt_record, notice
+        attempt_record = self._state.table.find(attempt)
+        if attempt_record is not None and apply_notice(
+            self._state,
+            now,
+            attempt_record,
+            notice,
         ):
             self.on_leaving(now, attempt_record.target.id)
 
@@ -72,7 +75,7 @@
     def report(self, now: float) -> LoadReport | None:
         """Return the report of the target's free capacity for other nodes."""
         self._report_number += 1
-        return report_load(self._state, now, self._report_number)
+        return build_report(self._state, now, self._report_number)
 
     def report_on_answer(self, now: float) -> LoadReport | None:
         """Return the report for an answer, and pass it to `on_answer`."""
@@ -91,7 +94,7 @@
 
         `wall` is the wall clock in milliseconds. None: no request was lost.
         """
-        target_exit = self._state.lost.close(now, wall, target)
+        target_exit = self._state.lost_runs.close(now, wall, target)
         if target_exit is not None:
             self._state.journal.record(
                 Occurrence(
--- a/hillfield/gate/occupancy.py
+++ b/hillfield/gate/occupancy.py
@@ -1,11 +1,11 @@
 """The incarnation of its target that a gate serves."""
 
 from hillfield.events import EventCode
-from hillfield.gate.hearing import hear_told
+from hillfield.gate.health import HealthScore
 from hillfield.gate.limit import RateLimit
 from hillfield.gate.notes import GateNotes
-from hillfield.gate.seat import Seat
-from hillfield.gate.standing import Standing
+from hillfield.gate.notices import apply_forwarded_notice
+from hillfield.gate.served import Seat
 from hillfield.model import LifeNotice, TargetState
 from hillfield.routing.loads import Latency
 
@@ -16,42 +16,50 @@
     @property
     def seat(self) -> Seat | None:
         """Return the served incarnation."""
-        return self._state.seat
+        return self._state.serving
 
-    def take_seat(self, seat: Seat | None) -> None:
+    def take_seat(self, serving: Seat | None) -> None:
         """Serve an incarnation of the target; None: it has left or leaves."""
         state = self._state
-        if seat is not None and seat.target.state is TargetState.DRAINING:
-            self.leave_seat()
+        if serving is not None and serving.target.state is TargetState.DRAINING:
+            self.stop_serving()
             return
-        before = state.seat
-        state.seat = seat
-        if seat is None:
+        before = state.serving
+        state.serving = serving
+        if serving is None:
             if before is not None:
-                state.record(EventCode.GATE_EMPTY, before, 'leaving or gone')
+                state.record_event(
+                    EventCode.GATE_EMPTY,
+                    before,
+                    'leaving or gone',
+                )
             return
-        state.farewell = None
-        if before is None or before.target.id != seat.target.id:
+        state.left = None
+        if before is None or before.target.id != serving.target.id:
             if before is not None:
                 self.on_replaced(before.target.id)
-            state.standing = Standing()
+            state.health = HealthScore()
             state.limit = RateLimit()
             state.latency = Latency()
-            state.record(
+            state.record_event(
                 EventCode.GATE_SEATED,
-                seat,
-                f'known as {seat.name}',
+                serving,
+                f'known as {serving.name}',
             )
 
     def adopt_told(self, now: float, notice: LifeNotice) -> None:
         """Apply the notice that the sender of a request has received."""
-        seat = self._state.seat
-        if seat is not None and hear_told(self._state, now, notice):
-            self.on_leaving(now, seat.target.id)
+        serving = self._state.serving
+        if serving is not None and apply_forwarded_notice(
+            self._state,
+            now,
+            notice,
+        ):
+            self.on_leaving(now, serving.target.id)
 
-    def leave_seat(self) -> None:
+    def stop_serving(self) -> None:
         """Send no new work to the target: it has announced that it leaves."""
-        seat = self._state.seat
-        if seat is not None:
-            self._state.farewell = seat
+        serving = self._state.serving
+        if serving is not None:
+            self._state.left = serving
             self.take_seat(None)
--- a/hillfield/gate/order.py
+++ b/hillfield/gate/order.py
@@ -12,7 +12,7 @@
 
 # Usage that calls of other services count with where accounts share the
 # target: less than that of any account, so that they go first.
-PART_OF_CALLS: Final = -1.0
+USAGE_OF_CALLS: Final = -1.0
 
 
 class Rank(Struct, frozen=True):
@@ -31,11 +31,11 @@
     priority: int = 0
     expires: float = 0
     account: str = ''
-    foreign: bool = False
+    service_call: bool = False
     cost: float = 0
 
 
-class Turn(Struct, frozen=True, order=True):
+class QueueOrder(Struct, frozen=True, order=True):
     """Order the waiting requests: the least goes first.
 
     `level` is the effective priority, `usage` the seconds of slots that the
@@ -45,7 +45,7 @@
 
     late: bool
     level: int
-    part: float
+    usage: float
     long: bool
     expires: float
     number: int
@@ -58,18 +58,18 @@
     `by_account`: client accounts share the target, so a request that names
     none is from no client. Elsewhere only short requests count as calls.
 
-    >>> is_call(Rank(long=True, foreign=True), by_account=True)
+    >>> is_call(Rank(long=True, service_call=True), by_account=True)
     True
-    >>> is_call(Rank(long=True, foreign=True), by_account=False)
+    >>> is_call(Rank(long=True, service_call=True), by_account=False)
     False
     """
-    return rank.foreign and (by_account or not rank.long)
+    return rank.service_call and (by_account or not rank.long)
 
 
-def arrange(
+def compute_order(
     ranks: Sequence[Rank],
     usage: Mapping[str, float],
-) -> tuple[Turn, ...]:
+) -> tuple[QueueOrder, ...]:
     """Return the order of all waiting requests, given in order of arrival.
 
     `usage` holds the seconds of slots that each account has used lately. Each
@@ -77,18 +77,18 @@
     with, so that accounts alternate. A call gets the priority of the most
     urgent waiting request.
 
-    >>> first, second = arrange([Rank(priority=2), Rank(priority=1)], {})
+    >>> first, second = compute_order([Rank(priority=2), Rank(priority=1)], {})
     >>> second < first
     True
     >>> alike = [Rank(account=name, cost=1) for name in 'aab']
-    >>> orders = arrange(alike, {})
+    >>> orders = compute_order(alike, {})
     >>> sorted(range(3), key=orders.__getitem__)
     [0, 2, 1]
     """
     by_account = any(rank.account for rank in ranks)
     least = min((rank.priority for rank in ranks), default=0)
     orders = [
-        Turn(
+        QueueOrder(
             rank.late,
             least if is_call(rank, by_account) else rank.priority,
             0,
@@ -101,9 +101,9 @@
     return _add_usage(ranks, orders, usage) if by_account else tuple(orders)
 
 
-def find_outranked(
+def list_outranked(
     ranks: Sequence[Rank],
-    orders: Sequence[Turn],
+    orders: Sequence[QueueOrder],
 ) -> tuple[int, ...]:
     """Return the numbers of the requests that go after the newest by rank.
 
@@ -117,14 +117,14 @@
         for order in orders[:-1]
         if order.level >= newcomer.level
         and _differs(ranks[order.number], order, account, newcomer)
-        and (newcomer.late, newcomer.level, newcomer.part)
-        < (order.late, order.level, order.part)
+        and (newcomer.late, newcomer.level, newcomer.usage)
+        < (order.late, order.level, order.usage)
     )
 
 
-def find_last(
+def select_displaced(
     ranks: Sequence[Rank],
-    orders: Sequence[Turn],
+    orders: Sequence[QueueOrder],
 ) -> int | None:
     """Return the number of the request that the newest one displaces, if any.
 
@@ -134,31 +134,36 @@
     by_account = any(rank.account for rank in ranks)
     outranked = [
         number
-        for number in find_outranked(ranks, orders)
+        for number in list_outranked(ranks, orders)
         if not is_call(ranks[number], by_account)
     ]
     return max(outranked, key=orders.__getitem__, default=None)
 
 
-def _differs(rank: Rank, order: Turn, account: str, other: Turn) -> bool:
+def _differs(
+    rank: Rank,
+    order: QueueOrder,
+    account: str,
+    other: QueueOrder,
+) -> bool:
     return rank.account != account or order.level != other.level
 
 
 def _add_usage(
     ranks: Sequence[Rank],
-    orders: Sequence[Turn],
+    orders: Sequence[QueueOrder],
     usage: Mapping[str, float],
-) -> tuple[Turn, ...]:
+) -> tuple[QueueOrder, ...]:
     """Set the accounts' usage, in the order of each account's own requests."""
     used = dict(usage)
     by_number = {}
     for order in sorted(orders):
         rank = ranks[order.number]
-        seconds: float = PART_OF_CALLS
-        if not rank.foreign:
+        seconds: float = USAGE_OF_CALLS
+        if not rank.service_call:
             seconds = used.get(rank.account, 0)
             used[rank.account] = seconds + rank.cost
-        by_number[order.number] = Turn(
+        by_number[order.number] = QueueOrder(
             order.late,
             order.level,
             seconds,
--- a/hillfield/gate/plans.py
+++ b/hillfield/gate/plans.py
@@ -8,7 +8,7 @@
 from hillfield.clocks import monotonic
 from hillfield.events import EventCode
 from hillfield.gate.gate import Gate
-from hillfield.gate.hop import HopOrder, read_hop
+from hillfield.gate.hop import HopInstructions, read_hop
 from hillfield.model import (
     AnswerChecks,
     Outcome,
@@ -21,9 +21,9 @@
 UNAVAILABLE: Final = 503
 MALFORMED: Final = 400
 # Seconds; the fleet learns of a changed target within about this.
-COME_BACK: Final = 0.2
+RETRY_AFTER_SECONDS: Final = 0.2
 # Seconds; the remaining time of each request is far below this.
-LONGEST: Final = 3600.0
+MAXIMUM_DEADLINE: Final = 3600.0
 
 
 class GatePlans(Struct, frozen=True):
@@ -44,12 +44,12 @@
         if read.is_error():
             return Error(_refuse(MALFORMED, f'Hillfield-Hop: {read.error}'))
         instructions = read.ok
-        if instructions.told is not None:
-            self.gate.adopt_told(monotonic(), instructions.told)
-        seat = self.gate.seat
-        if seat is None or self.gate.closing:
+        if instructions.notice is not None:
+            self.gate.adopt_told(monotonic(), instructions.notice)
+        serving = self.gate.seat
+        if serving is None or self.gate.closing:
             return Error(_refuse(UNAVAILABLE, 'no target is served here'))
-        target_id = seat.target.id
+        target_id = serving.target.id
         if (instructions.service, instructions.incarnation) != (
             target_id.service,
             target_id.incarnation,
@@ -57,13 +57,13 @@
             return Error(_refuse(UNAVAILABLE, f'{target_id} is served here'))
         return Ok(self._plan(instructions))
 
-    def _plan(self, instructions: HopOrder) -> RequestPlan:
+    def _plan(self, instructions: HopInstructions) -> RequestPlan:
         return RequestPlan(
             instructions.service,
             instructions.route,
             instructions.account,
             instructions.idempotent,
-            LONGEST,
+            MAXIMUM_DEADLINE,
             maximum_attempts=1,
             checks=self.checks,
             priority=instructions.priority,
@@ -83,5 +83,5 @@
         '',
         int(EventCode.TARGET_DECLINED),
         detail,
-        COME_BACK,
+        RETRY_AFTER_SECONDS,
     )
--- a/hillfield/gate/queue.py
+++ b/hillfield/gate/queue.py
@@ -4,15 +4,20 @@
 
 from msgspec import Struct
 
-from hillfield.gate.order import Rank, arrange, find_last, find_outranked
+from hillfield.gate.order import (
+    Rank,
+    compute_order,
+    list_outranked,
+    select_displaced,
+)
 from hillfield.routing.records import RequestRecord
 
 
-class Place(Struct, frozen=True):
+class QueuedRequest(Struct, frozen=True):
     """Hold a waiting request, its rank, and when its wait ends (seconds)."""
 
     rank: Rank
-    until: float
+    wait_until: float
     record: RequestRecord
 
 
@@ -24,7 +29,7 @@
 
     def __init__(self) -> None:
         """Start empty."""
-        self._waiting: list[Place] = []
+        self._waiting: list[QueuedRequest] = []
 
     def __len__(self) -> int:
         """Return the number of waiting requests."""
@@ -37,30 +42,30 @@
         wait_until: float,
     ) -> None:
         """Add a request that may wait until this moment."""
-        self._waiting.append(Place(rank, wait_until, record))
+        self._waiting.append(QueuedRequest(rank, wait_until, record))
 
     def pop(self, usage: Mapping[str, float]) -> RequestRecord:
         """Remove and return the request that goes first."""
-        first = min(arrange(self._list_ranks(), usage))
+        first = min(compute_order(self._list_ranks(), usage))
         return self._waiting.pop(first.number).record
 
     def count_ahead(self, rank: Rank, usage: Mapping[str, float]) -> int:
         """Return how many requests go before one more of this rank."""
         ranks = (*self._list_ranks(), rank)
-        outranked = find_outranked(ranks, arrange(ranks, usage))
+        outranked = list_outranked(ranks, compute_order(ranks, usage))
         return len(self._waiting) - len(outranked)
 
-    def find_last(
+    def select_displaced(
         self,
         usage: Mapping[str, float],
-    ) -> tuple[int, Place] | None:
+    ) -> tuple[int, QueuedRequest] | None:
         """Return the request that the newest displaces, and how many precede.
 
         None: the newest goes before no request that may be declined for it.
         """
         ranks = self._list_ranks()
-        orders = arrange(ranks, usage)
-        displaced = find_last(ranks, orders)
+        orders = compute_order(ranks, usage)
+        displaced = select_displaced(ranks, orders)
         if displaced is None:
             return None
         ahead = sum(order < orders[displaced] for order in orders)
@@ -72,13 +77,13 @@
             queued for queued in self._waiting if queued.record is not record
         ]
 
-    def take_all(self) -> tuple[RequestRecord, ...]:
+    def pop_all(self) -> tuple[RequestRecord, ...]:
         """Remove and return all requests."""
         records = tuple(queued.record for queued in self._waiting)
         self._waiting.clear()
         return records
 
-    def take_late(self, now: float) -> tuple[Place, ...]:
+    def pop_expired(self, now: float) -> tuple[QueuedRequest, ...]:
         """Remove and return the requests whose wait or deadline is over.
 
         Each is measured by the duration of its own route: measured by that of
@@ -96,6 +101,8 @@
         return tuple(queued.rank for queued in self._waiting)
 
 
-def _is_expired(now: float, queued: Place) -> bool:
+def _is_expired(now: float, queued: QueuedRequest) -> bool:
     expected_end = now + queued.rank.cost
-    return now > queued.until or expected_end > queued.record.arrival.expires
+    return (
+        now > queued.wait_until or expected_end > queued.record.arrival.expires
+    )
--- a/hillfield/gate/reporting.py
+++ b/hillfield/gate/reporting.py
@@ -2,16 +2,20 @@
 
 from typing import Final
 
-from hillfield.gate.room import count_room, count_usable, find_wait
+from hillfield.gate.capacity import (
+    count_free_slots,
+    count_usable_slots,
+    estimate_wait,
+)
 from hillfield.gate.state import GateState
-from hillfield.gate.suspicion import DOUBT_SCORE, weigh_running
+from hillfield.gate.suspicion import SUSPICION_SCORE, score_running
 from hillfield.loadreports.reports import Held, LoadReport
 
 # Decimal digits of reported seconds: a millisecond changes no decision.
 WAIT_DIGITS: Final = 3
 
 
-def report_load(
+def build_report(
     state: GateState,
     now: float,
     number: int,
@@ -21,7 +25,7 @@
     if target is None:
         return _report_leaving(state, number)
     waiting = len(state.queue)
-    free = 0 if waiting else count_room(state, now, target)
+    free = 0 if waiting else count_free_slots(state, now, target)
     return LoadReport(
         target.id.service,
         target.id.address.ip,
@@ -31,17 +35,17 @@
         free,
         waiting,
         _find_withheld(state, now),
-        0 if free else round(find_wait(state, now, target), WAIT_DIGITS),
-        count_usable(state, target),
-        state.find_notice(),
+        0 if free else round(estimate_wait(state, now, target), WAIT_DIGITS),
+        count_usable_slots(state, target),
+        state.build_notice(),
     )
 
 
 def _report_leaving(state: GateState, number: int) -> LoadReport | None:
     """Report no capacity for an incarnation that leaves."""
-    if state.farewell is None:
+    if state.left is None:
         return None
-    leaving = state.farewell.target.id
+    leaving = state.left.target.id
     return LoadReport(
         leaving.service,
         leaving.address.ip,
@@ -50,13 +54,13 @@
         number,
         0,
         held=Held.ALL,
-        notice=state.find_notice(),
+        notice=state.build_notice(),
     )
 
 
 def _find_withheld(state: GateState, now: float) -> Held:
-    if state.standing.shunned:
-        trial_due = state.standing.wants_trial(now)
+    if state.health.quarantined:
+        trial_due = state.health.is_trial_due(now)
         return Held.USUAL if trial_due else Held.ALL
-    suspected = weigh_running(state, now) > DOUBT_SCORE
+    suspected = score_running(state, now) > SUSPICION_SCORE
     return Held.ONCE if suspected else Held.NOTHING
--- a/hillfield/gate/endings.py
+++ b/hillfield/gate/results.py
@@ -2,7 +2,7 @@
 
 from http import HTTPStatus
 
-from hillfield.gate.standing import Ending
+from hillfield.gate.health import AttemptResult
 from hillfield.routing.requests import (
     Answered,
     Broken,
@@ -11,25 +11,25 @@
 )
 
 
-def read_ending(observation: Observation) -> Ending:
+def read_result(observation: Observation) -> AttemptResult:
     """Return the result of an attempt, as evidence of the target's health.
 
     A time-out is no evidence, since the caller may have left too little time;
     a request that hangs is recorded by its age while it waits.
 
-    >>> read_ending(Answered(HTTPStatus.OK))
-    <Ending.GOOD: 'good'>
-    >>> read_ending(ConnectFailed('refused'))
-    <Ending.UNREACHED: 'unreached'>
+    >>> read_result(Answered(HTTPStatus.OK))
+    <AttemptResult.GOOD: 'good'>
+    >>> read_result(ConnectFailed('refused'))
+    <AttemptResult.UNREACHABLE: 'unreached'>
     """
     match observation:
         case Broken():
-            return Ending.BROKEN
+            return AttemptResult.BROKEN
         case ConnectFailed():
-            return Ending.UNREACHED
+            return AttemptResult.UNREACHABLE
         case Answered():
             return _classify_answer(observation)
-    return Ending.SILENT
+    return AttemptResult.NO_EVIDENCE
 
 
 def is_success(observation: Observation) -> bool:
@@ -43,9 +43,9 @@
     return observation.status < HTTPStatus.MULTIPLE_CHOICES
 
 
-def _classify_answer(answer: Answered) -> Ending:
+def _classify_answer(answer: Answered) -> AttemptResult:
     if answer.status == HTTPStatus.GATEWAY_TIMEOUT:
-        return Ending.SILENT
+        return AttemptResult.NO_EVIDENCE
     if answer.wrong or answer.status >= HTTPStatus.INTERNAL_SERVER_ERROR:
-        return Ending.FAILED
-    return Ending.GOOD
+        return AttemptResult.FAILED
+    return AttemptResult.GOOD
--- a/hillfield/gate/seating.py
+++ b/hillfield/gate/seating.py
@@ -14,7 +14,7 @@
 )
 from hillfield.announcements.messages import Refusal
 from hillfield.gate.gate import Gate
-from hillfield.gate.seat import Seat
+from hillfield.gate.served import Seat
 from hillfield.model import Target, TargetId, TargetState
 
 NAMES_KEPT: Final = 64
@@ -97,11 +97,11 @@
 
     def note_leaving(self, now: float, target: TargetId) -> None:
         """Treat a notice of the served incarnation as a draining heartbeat."""
-        seat = self.gate.seat
-        if seat is None or seat.target.id != target:
+        serving = self.gate.seat
+        if serving is None or serving.target.id != target:
             return
-        self._stop_serving(seat.name)
-        named = self._incarnations.get(seat.name)
+        self._stop_serving(serving.name)
+        named = self._incarnations.get(serving.name)
         if named is None:
             return
         named.leaving = True
@@ -140,11 +140,11 @@
 
     def follow_expiry(self, now: float) -> None:
         """Stop serving a target whose heartbeats have expired."""
-        seat = self.gate.seat
-        if seat is None:
+        serving = self.gate.seat
+        if serving is None:
             return
         listed = {target.id for target in self._registry.targets(now)}
-        if seat.target.id not in listed:
+        if serving.target.id not in listed:
             self.gate.take_seat(None)
 
     def _is_acceptable(self, name: str, announcement: Announcement) -> bool:
@@ -155,9 +155,9 @@
         return born is not None and born > left
 
     def _stop_serving(self, name: str) -> None:
-        seat = self.gate.seat
-        if seat is not None and seat.name == name:
-            self.gate.leave_seat()
+        serving = self.gate.seat
+        if serving is not None and serving.name == name:
+            self.gate.stop_serving()
 
     def _start(
         self,
@@ -167,7 +167,10 @@
     ) -> _Incarnation:
         self._latest = max(wall, self._latest + 1)
         named = _Incarnation(
-            announcement, self._latest, -1, announcement.incarnation
+            announcement,
+            self._latest,
+            -1,
+            announcement.incarnation,
         )
         self._incarnations[name] = named
         self._withdrawn.pop(name, None)
--- a/hillfield/gate/seat.py
+++ b/hillfield/gate/served.py
@@ -18,6 +18,6 @@
     born: int | None = None
 
     @property
-    def life(self) -> str:
+    def identifier(self) -> str:
         """Return an identifier of this incarnation, the same at any node."""
         return self.name if self.born is None else f'{self.name}/{self.born}'
--- a/hillfield/gate/state.py
+++ b/hillfield/gate/state.py
@@ -5,13 +5,13 @@
 
 from hillfield.crashes import LostRuns
 from hillfield.events import EventCode, Journal, Occurrence
-from hillfield.gate.ages import AgeTrust
+from hillfield.gate.ages import AgeReliability
 from hillfield.gate.calls import FailedCalls
+from hillfield.gate.health import AttemptResult, HealthScore
 from hillfield.gate.limit import RateLimit
 from hillfield.gate.queue import GateQueue
-from hillfield.gate.seat import Seat
-from hillfield.gate.shares import AccountShares, is_foreign
-from hillfield.gate.standing import Ending, Standing
+from hillfield.gate.served import Seat
+from hillfield.gate.usage import AccountUsage, is_service_call
 from hillfield.model import LifeNotice, Target, TargetState
 from hillfield.routing.durations import Durations
 from hillfield.routing.loads import Latency
@@ -34,24 +34,24 @@
     """
 
     journal: Journal
-    seat: Seat | None = None
-    farewell: Seat | None = None
-    standing: Standing = field(default_factory=Standing)
+    serving: Seat | None = None
+    left: Seat | None = None
+    health: HealthScore = field(default_factory=HealthScore)
     limit: RateLimit = field(default_factory=RateLimit)
-    ledger: Ledger = field(default_factory=Ledger)
+    table: Ledger = field(default_factory=Ledger)
     queue: GateQueue = field(default_factory=GateQueue)
     latency: Latency = field(default_factory=Latency)
-    calls: FailedCalls = field(default_factory=FailedCalls)
+    failed_calls: FailedCalls = field(default_factory=FailedCalls)
     durations: Durations = field(default_factory=Durations)
-    lost: LostRuns = field(default_factory=LostRuns)
-    ages: AgeTrust = field(default_factory=AgeTrust)
-    shares: AccountShares = field(default_factory=AccountShares)
-    declined: list[Refuse] = field(default_factory=list)
+    lost_runs: LostRuns = field(default_factory=LostRuns)
+    age_reliability: AgeReliability = field(default_factory=AgeReliability)
+    usage: AccountUsage = field(default_factory=AccountUsage)
+    displaced: list[Refuse] = field(default_factory=list)
 
     @property
     def target(self) -> Target | None:
         """Return the target to send to, or None."""
-        return None if self.seat is None else self.seat.target
+        return None if self.serving is None else self.serving.target
 
     @property
     def in_flight(self) -> int:
@@ -61,49 +61,55 @@
         """
         target = self.target
         if target is None:
-            return len(self.ledger.attempts)
+            return len(self.table.attempts)
         return sum(
             attempt.target.id == target.id
-            for attempt in self.ledger.attempts.values()
+            for attempt in self.table.attempts.values()
         )
 
-    def find_notice(self) -> LifeNotice | None:
+    def build_notice(self) -> LifeNotice | None:
         """Return what the target said about itself, for other nodes."""
-        if self.seat is not None:
+        if self.serving is not None:
             rate = self.limit.rate
-            return None if rate is None else LifeNotice(self.seat.life, rate)
-        left = self.farewell
-        return None if left is None else LifeNotice(left.life, leaving=True)
+            return (
+                None
+                if rate is None
+                else LifeNotice(self.serving.identifier, rate)
+            )
+        left = self.left
+        return (
+            None if left is None else LifeNotice(left.identifier, leaving=True)
+        )
 
-    def judge(
+    def record_result(
         self,
         now: float,
         target: Target,
-        attempt_result: Ending,
+        attempt_result: AttemptResult,
         weight: float | None = None,
     ) -> None:
         """Record the result of an attempt at the target."""
-        seat = self.seat
-        if seat is None or seat.target.id != target.id:
+        serving = self.serving
+        if serving is None or serving.target.id != target.id:
             return
-        if self.standing.note(now, attempt_result, weight):
-            self._record_quarantine(seat, f'last request {attempt_result}')
+        if self.health.record(now, attempt_result, weight):
+            self._record_quarantine(serving, f'last request {attempt_result}')
 
-    def clear(self, now: float, attempt: AttemptRecord) -> None:
+    def retract_age(self, now: float, attempt: AttemptRecord) -> None:
         """Retract the evidence of a request's age, since it was answered."""
-        seat = self.seat
-        if seat is None or seat.target.id != attempt.target.id:
+        serving = self.serving
+        if serving is None or serving.target.id != attempt.target.id:
             return
-        if self.standing.take_back(now, attempt.weight):
-            self._record_quarantine(seat, 'slow requests were answered')
+        if self.health.retract_age(now, attempt.weight):
+            self._record_quarantine(serving, 'slow requests were answered')
 
-    def note_answered(self, now: float, attempt: AttemptRecord) -> None:
+    def record_answered(self, now: float, attempt: AttemptRecord) -> None:
         """Record the duration of an answered attempt."""
         self.latency.note(now, now - attempt.started)
         duration = self.durations.find(attempt.record.arrival.plan)
-        duration.note(self.find_work(now, attempt))
+        duration.note(self.compute_warm_age(now, attempt))
 
-    def find_work(self, now: float, attempt: AttemptRecord) -> float:
+    def compute_warm_age(self, now: float, attempt: AttemptRecord) -> float:
         """Return the age of an attempt, in seconds at a warmed-up target."""
         seconds = attempt.find_age(now)
         target = self.target
@@ -113,28 +119,28 @@
 
     def send(self, now: float, record: RequestRecord, target: Target) -> Send:
         """Start an attempt."""
-        self.standing.begin(now)
-        self.limit.take(now)
+        self.health.record_start(now)
+        self.limit.consume(now)
         plan = record.arrival.plan
-        if not is_foreign(plan):
+        if not is_service_call(plan):
             expected = self.durations.find(plan).find_quantile(0)
-            self.shares.charge(now, plan.account, expected)
-        return self.ledger.start(now, record, target)
+            self.usage.charge(now, plan.account, expected)
+        return self.table.start(now, record, target)
 
     def refuse(self, record: RequestRecord, cause: Cause) -> Refuse:
         """End a request; the outcome depends on whether it was sent."""
-        failure = end_refused(self.ledger, record, cause)
+        failure = end_refused(self.table, record, cause)
         return Refuse(record.arrival.request, failure)
 
-    def take_declined(self) -> tuple[Refuse, ...]:
+    def pop_displaced(self) -> tuple[Refuse, ...]:
         """Return and clear the refusals of displaced requests."""
-        declined = tuple(self.declined)
-        self.declined.clear()
+        declined = tuple(self.displaced)
+        self.displaced.clear()
         return declined
 
-    def record(self, code: EventCode, seat: Seat, detail: str) -> None:
+    def record_event(self, code: EventCode, serving: Seat, detail: str) -> None:
         """Record an event of the target."""
-        target = seat.target.id
+        target = serving.target.id
         self.journal.record(
             Occurrence(
                 code,
@@ -144,9 +150,9 @@
             ),
         )
 
-    def _record_quarantine(self, seat: Seat, reason: str) -> None:
+    def _record_quarantine(self, serving: Seat, reason: str) -> None:
         code = EventCode.GATE_REOPENED
-        if self.standing.shunned:
+        if self.health.quarantined:
             code = EventCode.GATE_SHUNNED
-        score = round(self.standing.score, 1)
-        self.record(code, seat, f'{reason}, score {score}')
+        score = round(self.health.score, 1)
+        self.record_event(code, serving, f'{reason}, score {score}')
--- a/hillfield/gate/tests/test_gate.py
+++ b/hillfield/gate/tests/test_gate.py
@@ -6,10 +6,10 @@
 
 from hillfield.events import EventCode, ListJournal
 from hillfield.gate import Gate, GatePlans, HopDialect, Seat
-from hillfield.gate.admission import FULL, SHUNNED
-from hillfield.gate.hop import HopOrder, write_hop
-from hillfield.gate.standing import LONGEST_SHUN
-from hillfield.gate.waiting import LONGEST_WAIT
+from hillfield.gate.admission import FULL, QUARANTINED
+from hillfield.gate.health import ANY_TRIAL_DELAY
+from hillfield.gate.hop import HopInstructions, write_hop
+from hillfield.gate.waiting import MAXIMUM_WAIT
 from hillfield.model import (
     Address,
     AnswerChecks,
@@ -105,7 +105,7 @@
     assert verdict.failure.outcome is Outcome.NOT_RUN
     assert verdict.failure.status == 503
     assert verdict.failure.retry_after
-    assert verdict.failure.retry_after > LONGEST_WAIT
+    assert verdict.failure.retry_after > MAXIMUM_WAIT
 
 
 def test_one_broken_connection_shuns_the_target(gate):
@@ -188,7 +188,7 @@
         run(gate, f's{now}', Answered(200), now, trial=True)
         now += 0.3
         assert now < 5
-    assert now < LONGEST_SHUN
+    assert now < ANY_TRIAL_DELAY
 
 
 def test_each_success_lets_one_more_trial_run_at_once(gate):
@@ -206,8 +206,8 @@
     none was a trial: 341 of 350 requests were refused to the end of the day.
     """
     run(gate, 'a', Broken('reset'))
-    once = arrive('b', LONGEST_SHUN + 0.1)
-    assert isinstance(gate.admit(LONGEST_SHUN + 0.1, once), Send)
+    once = arrive('b', ANY_TRIAL_DELAY + 0.1)
+    assert isinstance(gate.admit(ANY_TRIAL_DELAY + 0.1, once), Send)
 
 
 def test_one_trial_at_a_time(gate):
@@ -310,9 +310,16 @@
 
 
 def resolve(gate, **changed):
-    order = HopOrder('refunds', 7, 1, 'desk', idempotent=True, trial=True)
+    order = HopInstructions(
+        'refunds',
+        7,
+        1,
+        'desk',
+        idempotent=True,
+        trial=True,
+    )
     fields = {name: getattr(order, name) for name in order.__struct_fields__}
-    hop = write_hop(HopOrder(**{**fields, **changed}))
+    hop = write_hop(HopInstructions(**{**fields, **changed}))
     head = RequestHead('POST', '/x', '', '', host='h', hop=hop)
     return GatePlans(gate, AnswerChecks()).resolve(head)
 
@@ -369,7 +376,7 @@
     passing = Declined('at step admit')
     lasting = replace(passing, lasting=True)
     assert read_decline('admit', FULL) == passing
-    assert read_decline('admit', SHUNNED) == lasting
+    assert read_decline('admit', QUARANTINED) == lasting
     assert read_decline('route', FULL) == Declined('at step route', None, True)
 
 
@@ -443,7 +450,7 @@
     run(gate, 'usual', Answered(200))
     hold_slots(gate, 1)
     assert isinstance(gate.admit(1, arrive('a', 1)), Wait)
-    refused = gate.poll(1 + 2 * LONGEST_WAIT)
+    refused = gate.poll(1 + 2 * MAXIMUM_WAIT)
     assert [verdict.request for verdict in refused] == ['a']
     assert refused[0].failure.outcome is Outcome.NOT_RUN
 
--- a/hillfield/gate/tests/test_telling.py
+++ b/hillfield/gate/tests/test_headers.py
@@ -1,8 +1,11 @@
 """What a gate tells on its answers."""
 
+from msgspec.structs import replace
+from tornado.httputil import HTTPHeaders
+
 from hillfield.events import ListJournal
 from hillfield.gate import Gate, HopDialect, Seat
-from hillfield.gate.telling import add_room
+from hillfield.gate.headers import add_room
 from hillfield.loadreports import Held, read_room
 from hillfield.model import (
     Address,
@@ -14,8 +17,6 @@
 )
 from hillfield.proxy import ProxySettings
 from hillfield.routing.requests import Answered, Arrival, Broken
-from msgspec.structs import replace
-from tornado.httputil import HTTPHeaders
 
 IDENTITY = TargetId('fees', Address('127.0.0.1', 8000), 7)
 TARGET = Target(IDENTITY, Locality('r', 'a', 'h1'), 2, 300)
@@ -68,11 +69,11 @@
 def test_slots_whose_requests_hang_are_not_told_as_usable():
     gate = open_gate()
     admit(gate, 'a')
-    for attempt in gate._state.ledger.attempts.values():
+    for attempt in gate._state.table.attempts.values():
         attempt.hung = True
     assert read(gate).usable == 1
     admit(gate, 'b')
-    for attempt in gate._state.ledger.attempts.values():
+    for attempt in gate._state.table.attempts.values():
         attempt.hung = True
     # None does useful work: told as 1, since 0 is for those that don't tell.
     assert read(gate).usable == 1
@@ -81,7 +82,7 @@
 def test_requests_that_hang_at_an_earlier_life_take_no_slot():
     gate = open_gate()
     admit(gate, 'a')
-    for attempt in gate._state.ledger.attempts.values():
+    for attempt in gate._state.table.attempts.values():
         attempt.hung = True
     later = replace(TARGET, id=replace(IDENTITY, incarnation=8))
     gate.take_seat(Seat(later, 'i-2'))
--- a/hillfield/gate/tests/test_seating.py
+++ b/hillfield/gate/tests/test_incarnations.py
@@ -6,8 +6,8 @@
 from hillfield.announcements import Announcement, TargetRegistry
 from hillfield.events import ListJournal
 from hillfield.gate import Gate
+from hillfield.gate.health import AttemptResult
 from hillfield.gate.seating import Seating
-from hillfield.gate.standing import Ending
 from hillfield.model import Address, RequestPlan, TargetState
 from hillfield.routing.requests import Arrival
 from hillfield.settings.examples import make_example
@@ -86,11 +86,11 @@
 
 def test_a_target_that_starts_again_under_its_name_is_a_new_life(seating):
     first = seating.announce(0, WALL, 'i-1', 9, born(50)).ok
-    seating.gate._state.standing.note(0, Ending.BROKEN)
+    seating.gate._state.health.record(0, AttemptResult.BROKEN)
     again = seating.announce(1, WALL, 'i-1', 1, born(60)).ok
     assert again.id.incarnation > first.id.incarnation
     assert seating.gate.seat.target == again
-    assert not seating.gate._state.standing.shunned
+    assert not seating.gate._state.health.quarantined
 
 
 def test_a_late_heartbeat_of_the_earlier_life_changes_nothing(seating):
@@ -136,7 +136,7 @@
     plan = RequestPlan('refunds', 'r', '', idempotent=False, deadline=9)
     arrival = Arrival('a', plan, 9, replayable=True)
     target = state.target
-    state.send(0, state.ledger.open(arrival), target)
+    state.send(0, state.table.open(arrival), target)
     assert state.in_flight == 1
     seating.announce(1, WALL, 'i-1', 1, born(60))
     assert not state.in_flight
--- a/hillfield/gate/tests/test_limit.py
+++ b/hillfield/gate/tests/test_limit.py
@@ -6,8 +6,8 @@
 
 from hillfield.events import EventCode, ListJournal
 from hillfield.gate import Gate, Seat
-from hillfield.gate.limit import LEAST_RATE, SAVED_SECONDS, RateLimit
-from hillfield.gate.waiting import LONGEST_WAIT
+from hillfield.gate.limit import BURST_SECONDS, MINIMUM_RATE, RateLimit
+from hillfield.gate.waiting import MAXIMUM_WAIT
 from hillfield.loadreports import read_room, write_room
 from hillfield.model import (
     Address,
@@ -109,8 +109,8 @@
 def test_no_window_holds_more_than_the_limit_and_what_is_saved(seed, rate):
     fleet = Fleet(seed, name_from(3, rate)).play(15)
     after = [moment for moment in fleet.sent if moment > 3 + 3 * WORK]
-    pace = max(LEAST_RATE, rate)
-    saved = max(1, SAVED_SECONDS * pace)
+    pace = max(MINIMUM_RATE, rate)
+    saved = max(1, BURST_SECONDS * pace)
     assert count_most(after) <= pace * WINDOW + saved
 
 
@@ -129,7 +129,7 @@
     ]
     assert limited
     assert all(told.outcome is Outcome.NOT_RUN for told in limited)
-    assert all(told.retry_after > LONGEST_WAIT for told in limited)
+    assert all(told.retry_after > MAXIMUM_WAIT for told in limited)
     assert '2.0 requests a second' in limited[0].detail
 
 
@@ -158,12 +158,12 @@
 
 
 def test_an_answer_that_overlaps_lifts_nothing(limit):
-    limit.hear(1, 0.5, 2)
-    assert not limit.hear(1.1, 0.6, None)
-    assert not limit.hear(1.2, 0.6, 9)
+    limit.apply_notice(1, 0.5, 2)
+    assert not limit.apply_notice(1.1, 0.6, None)
+    assert not limit.apply_notice(1.2, 0.6, 9)
     assert limit.rate == 2
-    assert limit.hear(1.3, 0.6, 1.5)
-    assert limit.hear(2.0, 1.4, None)
+    assert limit.apply_notice(1.3, 0.6, 1.5)
+    assert limit.apply_notice(2.0, 1.4, None)
     assert limit.rate is None
 
 
--- a/hillfield/gate/tests/test_order.py
+++ b/hillfield/gate/tests/test_order.py
@@ -6,10 +6,10 @@
 
 from hillfield.gate.order import (
     Rank,
-    arrange,
-    find_last,
-    find_outranked,
+    compute_order,
     is_call,
+    list_outranked,
+    select_displaced,
 )
 
 EXAMPLES = settings(derandomize=True, database=None, deadline=None)
@@ -20,7 +20,7 @@
 
 def drop_call(rank):
     """What names an account is no call."""
-    return replace(rank, foreign=rank.foreign and not rank.account)
+    return replace(rank, service_call=rank.service_call and not rank.account)
 
 
 def list_ranks(priorities, accounts):
@@ -32,7 +32,7 @@
         priority=priorities,
         expires=moments,
         account=accounts,
-        foreign=st.booleans(),
+        service_call=st.booleans(),
         cost=costs,
     )
     return st.lists(built.map(drop_call), min_size=1, max_size=8)
@@ -52,7 +52,7 @@
 
 
 def find_order(ranks, had):
-    turns = arrange(ranks, had)
+    turns = compute_order(ranks, had)
     return sorted(range(len(ranks)), key=turns.__getitem__)
 
 
@@ -71,15 +71,15 @@
 @EXAMPLES
 @given(ranks=plain, had=parts)
 def test_without_ranks_and_accounts_nobody_makes_way(ranks, had):
-    turns = arrange(ranks, had)
-    assert not find_outranked(ranks, turns)
-    assert find_last(ranks, turns) is None
+    turns = compute_order(ranks, had)
+    assert not list_outranked(ranks, turns)
+    assert select_displaced(ranks, turns) is None
 
 
 @EXAMPLES
 @given(ranks=ranked, had=parts)
 def test_each_has_one_turn(ranks, had):
-    turns = arrange(ranks, had)
+    turns = compute_order(ranks, had)
     assert [turn.number for turn in turns] == list(range(len(ranks)))
     assert len(set(turns)) == len(ranks)
 
@@ -111,7 +111,7 @@
 @given(ranks=ranked, had=parts)
 def test_a_call_goes_before_all_new_work_of_accounts(ranks, had):
     shared = any(rank.account for rank in ranks)
-    turns = arrange(ranks, had)
+    turns = compute_order(ranks, had)
     for call, rank in zip(turns, ranks, strict=True):
         if not shared or not is_call(rank, shared):
             continue
@@ -125,7 +125,7 @@
 @EXAMPLES
 @given(ranks=unnamed, had=parts)
 def test_no_less_urgent_new_work_goes_before_a_call(ranks, had):
-    turns = arrange(ranks, had)
+    turns = compute_order(ranks, had)
     least = min(rank.priority for rank in ranks)
     for call, rank in zip(turns, ranks, strict=True):
         if not is_call(rank, by_account=False):
@@ -143,7 +143,7 @@
 @given(ranks=ranked, had=parts)
 def test_nobody_makes_way_for_what_is_less_urgent_nor_a_call(ranks, had):
     shared = any(rank.account for rank in ranks)
-    last = find_last(ranks, arrange(ranks, had))
+    last = select_displaced(ranks, compute_order(ranks, had))
     if last is None:
         return
     newcomer = ranks[-1]
@@ -158,15 +158,15 @@
 def test_of_equal_rank_the_account_that_had_more_makes_way(ranks, had):
     """No account below its part is declined for one above it."""
     shared = any(rank.account for rank in ranks)
-    turns = arrange(ranks, had)
-    last = find_last(ranks, turns)
+    turns = compute_order(ranks, had)
+    last = select_displaced(ranks, turns)
     if last is None or is_call(ranks[-1], shared):
         return
     if (turns[last].late, turns[last].level) == (
         turns[-1].late,
         turns[-1].level,
     ):
-        assert turns[last].part > turns[-1].part
+        assert turns[last].usage > turns[-1].usage
         assert ranks[last].account != ranks[-1].account
 
 
--- a/hillfield/gate/waiting.py
+++ b/hillfield/gate/waiting.py
@@ -2,34 +2,38 @@
 
 from typing import Final
 
-from hillfield.gate.queue import Place
+from hillfield.gate.queue import QueuedRequest
 from hillfield.routing.records import RequestRecord
 
 # Seconds that a request may wait for a slot here, and the share of its
 # remaining time.
-LONGEST_WAIT: Final = 0.25
-SHARE_OF_WAIT: Final = 0.2
+MAXIMUM_WAIT: Final = 0.25
+WAIT_SHARE: Final = 0.2
 # The share of its remaining time that a request may wait here if its answer is
 # expected within the time in which it is worth most: a request that is
 # declined needs the rest to be tried elsewhere.
-LARGEST_SHARE_OF_WAIT: Final = 0.5
+MAXIMUM_WAIT_SHARE: Final = 0.5
 
 
-def find_bound(now: float, record: RequestRecord, duration: float) -> float:
+def compute_wait_limit(
+    now: float,
+    record: RequestRecord,
+    duration: float,
+) -> float:
     """Return the seconds that a request may wait for a slot here.
 
     `duration` is how long the requests of its route take, in seconds.
     """
     left = record.arrival.expires - now
-    limit = min(LONGEST_WAIT, SHARE_OF_WAIT * left)
+    limit = min(MAXIMUM_WAIT, WAIT_SHARE * left)
     plan = record.arrival.plan
     if not plan.aim:
         return limit
     slack = plan.aim - plan.spent - duration
-    return max(limit, min(slack, LARGEST_SHARE_OF_WAIT * left))
+    return max(limit, min(slack, MAXIMUM_WAIT_SHARE * left))
 
 
-def describe_wait(now: float, queued: Place) -> str:
+def describe_wait(now: float, queued: QueuedRequest) -> str:
     """Return how long a request has waited in vain, and what it needs."""
     waited = now - queued.record.queued_at
     left = queued.record.arrival.expires - now
