--- a/hillfield/crashes/__init__.py
+++ b/hillfield/crashes/__init__.py
@@ -1,4 +1,4 @@
-"""Requests that end the targets that run them, known again by their likeness."""
+"""Requests that make targets exit, recognized by fingerprint and refused."""
 
 from hillfield.crashes.asking import Asking
 from hillfield.crashes.fingerprints import Fingerprinter, Likeness
--- a/hillfield/crashes/asking.py
+++ b/hillfield/crashes/asking.py
@@ -1,47 +1,47 @@
-"""Decide when a node asks another what it has missed; pure.
+"""Decide when a node compares its crash reports with another node's; pure.
 
-A node that starts knows of no request that ends targets, and each one that it
-lets through ends a target more.
+A node that starts knows no crashing request, and each one that it lets through
+makes another target exit.
 """
 
 from typing import Final
 
-# Seconds between questions of a node that knows of some: what it missed, it
-# hears from the first node that it asks.
+# Seconds between comparisons of a node that has reports: the first node that
+# it asks sends all that it missed.
 ASK_EVERY: Final = 0.9
-# Seconds after its first question in which a node asks although it knows of
-# nothing: each time it looks, since a question or its answer may be lost.
+# Seconds after its first comparison in which a node without reports compares
+# at each opportunity, since a message or its answer may be lost.
 JOINING: Final = 6.0
 
 
 class Asking:
-    """Follow a node's questions; times are monotonic seconds.
+    """Schedule a node's comparisons; times are monotonic seconds.
 
-    Only what went out counts: a node may look before it knows of any other.
+    Only messages that were sent count: at first a node may know no other node.
 
-    >>> asking = Asking()
-    >>> asking.is_due(20.0, knows=False)
+    >>> timer = Asking()
+    >>> timer.is_due(20.0, knows=False)
     True
-    >>> asking.note_asked(20.0)
-    >>> asking.is_due(20.3, knows=False), asking.is_due(20.3, knows=True)
+    >>> timer.note_asked(20.0)
+    >>> timer.is_due(20.3, knows=False), timer.is_due(20.3, knows=True)
     (True, False)
-    >>> asking.is_due(27.0, knows=False)
+    >>> timer.is_due(27.0, knows=False)
     False
     """
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without comparisons."""
         self._first: float | None = None
         self._last = float('-inf')
 
     def is_due(self, now: float, *, knows: bool) -> bool:
-        """Tell whether to ask; `knows`: there is anything to compare."""
+        """Return whether to compare; `knows`: this node has reports."""
         if knows:
             return now - self._last >= ASK_EVERY
         return self._first is None or now - self._first < JOINING
 
     def note_asked(self, now: float) -> None:
-        """Note that a question went out."""
+        """Record that a comparison was started."""
         self._last = now
         if self._first is None:
             self._first = now
--- a/hillfield/crashes/cases.py
+++ b/hillfield/crashes/cases.py
@@ -1,4 +1,4 @@
-"""What is known of one request under which targets have ended."""
+"""The evidence against one request during which targets have exited."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -8,115 +8,115 @@
 from hillfield.crashes.messages import ClearRow, EndRow
 from hillfield.crashes.proof import SeenEnd, find_hold, is_harmful
 
-# Seed of the digest of a request that is refused.
+# Seed of the digest of a harmful request.
 HARMFUL: Final = 1
 NEVER: Final = float('-inf')
-# Ends that are kept of one request; those of one moment tell no more.
+# Exits kept of one request: further exits at one moment are no new evidence.
 ENDS_KEPT: Final = 16
 
 
 @dataclass(slots=True)
 class Case:
-    """Hold the ends under a request; times are monotonic seconds.
+    """Hold the exits during a request; times are monotonic seconds.
 
-    `ends` are by the node that saw each and its number there, `harmful` says
-    that they prove it, `cleared` that nothing that ended before tells against
-    it, `tried` when this node last let it run for a trial, `settled` that the
-    store is known to hold what follows from that.
+    `exits` are keyed by the node that saw each and its number there; `harmful`
+    says that they are sufficient evidence; exits until `cleared_at` are no
+    evidence; `last_trial` is when this node last let the request run as a
+    trial; `stored` says that the store is known to reflect `harmful`.
     """
 
     fingerprint: bytes
     ends: dict[tuple[str, int], SeenEnd] = field(default_factory=dict)
     harmful: bool = False
-    cleared: float = NEVER
-    tried: float = NEVER
+    cleared_at: float = NEVER
+    last_trial: float = NEVER
     settled: bool = True
     _digest: int | None = None
 
     @property
     def last(self) -> float:
-        """Return when anything was last heard of it."""
-        ended = (end.ended for end in self.ends.values())
-        return max(self.cleared, *ended, NEVER)
+        """Return when the request last caused an exit or was cleared."""
+        ended = (seen_exit.ended for seen_exit in self.ends.values())
+        return max(self.cleared_at, *ended, NEVER)
 
     def take(self, now: float, row: EndRow) -> None:
-        """Take an end, unless it is known or void."""
+        """Add an exit, unless it is known, cleared, or one too many."""
         name = (row.gate, row.number)
         ended = now - row.ago
-        if name in self.ends or ended <= self.cleared:
+        if name in self.ends or ended <= self.cleared_at:
             return
         if len(self.ends) >= ENDS_KEPT:
             return
         self._digest = None
         self.ends[name] = SeenEnd(ended - row.lasted, ended)
         if not self.harmful:
-            self._judge()
+            self._update_harmful()
 
     def clear(self, moment: float) -> bool:
-        """Drop what ended until a moment; return whether anything was."""
+        """Drop the exits until a moment; return whether there were any."""
         self._digest = None
-        self.cleared = max(self.cleared, moment)
-        void = list(filter(self._is_void, self.ends))
-        for name in void:
+        self.cleared_at = max(self.cleared_at, moment)
+        dropped = list(filter(self._is_cleared, self.ends))
+        for name in dropped:
             self.ends.pop(name)
-        self._judge()
-        return bool(void)
+        self._update_harmful()
+        return bool(dropped)
 
     def holds(self, now: float) -> bool:
-        """Tell whether it is refused, whoever asks."""
+        """Return whether the request is refused by all nodes."""
         if not self.harmful:
             return False
         return self.find_wait(now) > 0
 
     def find_wait(self, now: float) -> float:
-        """Return the seconds until it may be tried; inf: not by itself."""
-        hold = find_hold(self.ends.values())
-        return max(0, self.last + hold - now)
+        """Return the seconds until a trial; inf: an operator must lift it."""
+        refusal_time = find_hold(self.ends.values())
+        return max(0, self.last + refusal_time - now)
 
     def may_try(self, now: float) -> bool:
-        """Take the one trial that is due after the hold, if it is left."""
-        if now - self.tried < find_hold(self.ends.values()):
+        """Claim the trial due after the refusal; False: already claimed."""
+        if now - self.last_trial < find_hold(self.ends.values()):
             return False
-        self.tried = now
+        self.last_trial = now
         return True
 
     def list_ends(self, now: float) -> tuple[EndRow, ...]:
-        """Return the ends as others are told of them."""
+        """Return the exits as rows for other nodes."""
         return tuple(
             self._make_row(now, gate, number) for gate, number in self.ends
         )
 
     def list_clears(self, now: float) -> tuple[ClearRow, ...]:
-        """Return that it was found harmless, if it was."""
-        if self.cleared == NEVER:
+        """Return as a row that the request was found harmless, if it was."""
+        if self.cleared_at == NEVER:
             return ()
-        return (ClearRow(self.fingerprint, now - self.cleared),)
+        return (ClearRow(self.fingerprint, now - self.cleared_at),)
 
     def hash(self) -> int:
-        """Return a digest on which nodes agree that decide alike."""
+        """Return a digest that is equal at nodes that decide alike."""
         if self._digest is None:
-            self._digest = _sum_up(self)
+            self._digest = _compute_digest(self)
         return self._digest
 
-    def _judge(self) -> None:
+    def _update_harmful(self) -> None:
         harmful = is_harmful(self.ends.values())
         if harmful is not self.harmful:
             self.harmful = harmful
             self.settled = False
 
-    def _is_void(self, name: tuple[str, int]) -> bool:
-        return self.ends[name].ended <= self.cleared
+    def _is_cleared(self, name: tuple[str, int]) -> bool:
+        return self.ends[name].ended <= self.cleared_at
 
     def _make_row(self, now: float, gate: str, number: int) -> EndRow:
-        end = self.ends[gate, number]
-        ago = now - end.ended
-        lasted = end.ended - end.began
+        seen_exit = self.ends[gate, number]
+        ago = now - seen_exit.ended
+        lasted = seen_exit.ended - seen_exit.began
         return EndRow(self.fingerprint, gate, number, ago, lasted)
 
 
-def _sum_up(case: Case) -> int:
+def _compute_digest(case: Case) -> int:
     if case.harmful:
         return xxh3_64_intdigest(case.fingerprint, HARMFUL)
     names = sorted(f'{gate}/{number}' for gate, number in case.ends)
-    told = ' '.join((case.fingerprint.hex(), *names))
-    return xxh3_64_intdigest(told.encode())
+    text = ' '.join((case.fingerprint.hex(), *names))
+    return xxh3_64_intdigest(text.encode())
--- a/hillfield/crashes/fingerprints.py
+++ b/hillfield/crashes/fingerprints.py
@@ -1,25 +1,26 @@
-"""Know a request again that comes under another id, at any node."""
+"""Recognize a request that is sent again under another id, at any node."""
 
 from hashlib import blake2b
 from typing import Final
 
 from msgspec import Struct
 
-# Bytes of a fingerprint: two of 4,000 tracked at once that are alike by chance
-# come once in 10^21 fleets.
+# Bytes of a fingerprint: with 4,000 requests tracked at once, two collide in
+# one of 10^21 fleets.
 LENGTH: Final = 12
 KEY_LENGTH: Final = 64
-# Bytes of a body that count. A longer one is passed on in parts and never held
-# whole, so those that begin alike are taken for the same.
+# Bytes of a body that are hashed. Longer bodies are forwarded in parts and
+# never held complete, so requests whose bodies begin alike are taken for the
+# same.
 BODY_COUNTED: Final = 65536
 
 
 class Likeness(Struct, frozen=True):
-    """Hold what two requests have in common that are the same one again.
+    """Hold what two copies of the same request have in common.
 
-    `account` is whose request it is, so that no caller's requests are ever
-    taken for those of another one. Neither the request's id counts nor the
-    node or host from which it comes.
+    `account` is its client account, so that requests of different accounts
+    never have the same identity. The request's id and the node or host from
+    which it comes are no part of it.
     """
 
     method: str
@@ -30,16 +31,17 @@
 
 
 class Fingerprinter:
-    """Take fingerprints that only nodes of one cluster can foretell.
+    """Compute fingerprints that only nodes of one cluster can predict.
 
-    With the cluster's key in it nobody can make up a request whose
-    fingerprint is that of another caller's request.
+    They are keyed with the cluster's key, so that nobody can construct a
+    request with the fingerprint of another caller's request.
 
-    >>> printer = Fingerprinter(b'key')
+    >>> fingerprinter = Fingerprinter(b'key')
     >>> lookup = Likeness('GET', 'till', '/a', '')
-    >>> printer.take(lookup) == printer.take(Likeness('GET', 'till', '/a', ''))
+    >>> again = Likeness('GET', 'till', '/a', '')
+    >>> fingerprinter.take(lookup) == fingerprinter.take(again)
     True
-    >>> printer.take(lookup) == Fingerprinter(b'other').take(lookup)
+    >>> fingerprinter.take(lookup) == Fingerprinter(b'other').take(lookup)
     False
     """
 
@@ -48,16 +50,16 @@
         derived = blake2b(key, digest_size=KEY_LENGTH).digest()
         self._empty = blake2b(digest_size=LENGTH, key=derived)
 
-    def take(self, likeness: Likeness) -> bytes:
-        """Return the fingerprint; no field but the body can hold a newline."""
+    def take(self, identity: Likeness) -> bytes:
+        """Return the fingerprint; only the body may contain a newline."""
         digest = self._empty.copy()
         head = (
-            likeness.method,
-            likeness.host,
-            likeness.path,
-            likeness.account,
+            identity.method,
+            identity.host,
+            identity.path,
+            identity.account,
             '',
         )
         digest.update('\n'.join(head).encode('utf-8', 'surrogateescape'))
-        digest.update(likeness.body[:BODY_COUNTED])
+        digest.update(identity.body[:BODY_COUNTED])
         return digest.digest()
--- a/hillfield/crashes/ledger.py
+++ b/hillfield/crashes/ledger.py
@@ -1,8 +1,8 @@
-"""What a node knows of requests under which targets have ended; pure.
+"""The crash reports that a node has, for all requests; pure.
 
-Each node holds all of it: ends are rare, and who has to decide is any node
-that gets the request next. What two nodes hold is merged by taking in each
-other's rows in any order, any number of times.
+Each node holds all reports: exits are rare, and any node that gets the request
+next has to decide. Two nodes merge their reports by applying each other's rows
+in any order, any number of times.
 """
 
 from collections.abc import Container, Iterable, Iterator
@@ -11,81 +11,81 @@
 from hillfield.crashes.cases import Case
 from hillfield.crashes.messages import ClearRow, EndRow, Findings
 
-# Requests that are followed at once, some 670 bytes each. A target of four
-# slots brings in four when it ends, of which three are harmless.
+# Requests tracked at once, some 670 bytes each. The exit of a target with four
+# slots adds four of them, of which three are harmless.
 CASES_KEPT: Final = 2048
-# Seconds after which a request that isn't refused is forgotten.
+# Seconds after which a request that isn't refused is dropped.
 FORGET_AFTER: Final = 3600.0
-# Seconds between looks for what may be forgotten.
+# Seconds between sweeps for expired cases.
 SWEEP_EVERY: Final = 60.0
-# Parts that are compared by digests, so that little is told anew.
+# Partitions that are compared by digest, so that only differing ones are sent.
 PARTS: Final = 16
 # Digests are added up in 64 bits.
 DIGESTS: Final = 1 << 8 * 8
 
 
 class CrashLedger:
-    """Follow requests by their fingerprints; times are monotonic seconds.
+    """Track requests by their fingerprints; times are monotonic seconds.
 
-    >>> ledger = CrashLedger()
-    >>> rows = [EndRow(b'x', 'n1', turn, 9.0 - turn, 0.5) for turn in range(3)]
-    >>> ledger.take(10, Findings(tuple(rows))) == {b'x'}
+    >>> registry = CrashLedger()
+    >>> rows = [EndRow(b'x', 'n1', each, 9.0 - each, 0.5) for each in range(3)]
+    >>> registry.take(10, Findings(tuple(rows))) == {b'x'}
     True
-    >>> ledger.holds(10, b'x'), ledger.holds(10, b'y')
+    >>> registry.holds(10, b'x'), registry.holds(10, b'y')
     (True, False)
-    >>> ledger.clear(11, b'x')
+    >>> registry.clear(11, b'x')
     True
-    >>> ledger.holds(11, b'x')
+    >>> registry.holds(11, b'x')
     False
     """
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without reports."""
         self.cases: dict[bytes, Case] = {}
-        self._sweep_at = float()
+        self._next_sweep = float()
         self._digests: tuple[int, ...] | None = None
 
-    def take(self, now: float, told: Findings) -> set[bytes]:
-        """Take in rows; return which requests are refused from now on."""
+    def take(self, now: float, findings: Findings) -> set[bytes]:
+        """Merge rows; return the requests that are refused from now on."""
         self._digests = None
-        before = _list_harmful(self, told.ends)
-        for clear in told.clears:
-            self._find(clear.fingerprint).clear(now - clear.ago)
-        for row in told.ends:
-            self._find(row.fingerprint).take(now, row)
-        if now >= self._sweep_at or len(self.cases) > CASES_KEPT:
-            self._sweep_at = now + SWEEP_EVERY
-            self._forget(now)
-        return _list_harmful(self, told.ends) - before
+        before = _list_harmful(self, findings.ends)
+        for clear in findings.clears:
+            self._get_case(clear.fingerprint).clear(now - clear.ago)
+        for row in findings.ends:
+            self._get_case(row.fingerprint).take(now, row)
+        if now >= self._next_sweep or len(self.cases) > CASES_KEPT:
+            self._next_sweep = now + SWEEP_EVERY
+            self._drop_cases(now)
+        return _list_harmful(self, findings.ends) - before
 
     def clear(self, moment: float, fingerprint: bytes) -> bool:
-        """Note that a request is harmless; return whether that is news."""
+        """Record that a request is harmless; return if exits were dropped."""
         self._digests = None
         case = self.cases.get(fingerprint)
         return case is not None and case.clear(moment)
 
     def settle(self, fingerprint: bytes) -> None:
-        """Note that the store holds why a request is refused."""
+        """Record that the store holds why a request is refused."""
         case = self.cases.get(fingerprint)
         if case is not None:
             case.settled = case.harmful
 
     def is_harmful(self, fingerprint: bytes) -> bool:
-        """Tell whether the ends prove that a request ends its targets."""
+        """Return whether the exits prove that a request is harmful."""
         case = self.cases.get(fingerprint)
         return case is not None and case.harmful
 
     def holds(self, now: float, fingerprint: bytes) -> bool:
-        """Tell whether a request is refused, whoever asks."""
+        """Return whether a request is refused by all nodes."""
         case = self.cases.get(fingerprint)
         return case is not None and case.holds(now)
 
-    def tell(self, now: float, parts: Container[int]) -> Findings:
-        """Return what is known of some parts."""
+    def tell(self, now: float, partitions: Container[int]) -> Findings:
+        """Return the reports of some partitions."""
         cases = [
             case
             for fingerprint, case in self.cases.items()
-            if find_part(fingerprint) in parts
+            if find_part(fingerprint) in partitions
         ]
         return Findings(
             tuple(row for case in cases for row in case.list_ends(now)),
@@ -93,30 +93,30 @@
         )
 
     def list_digests(self) -> tuple[int, ...]:
-        """Sum up each part."""
+        """Return the digest of each partition."""
         if self._digests is None:
-            self._digests = self._sum_up()
+            self._digests = self._compute_digests()
         return self._digests
 
     def find_root(self) -> int:
-        """Sum up all."""
+        """Return the digest of all reports."""
         return sum(self.list_digests()) % DIGESTS
 
-    def _sum_up(self) -> tuple[int, ...]:
+    def _compute_digests(self) -> tuple[int, ...]:
         digests = dict.fromkeys(range(PARTS), 0)
         for fingerprint, case in self.cases.items():
-            part = find_part(fingerprint)
-            digests[part] = (digests[part] + case.hash()) % DIGESTS
+            partition = find_part(fingerprint)
+            digests[partition] = (digests[partition] + case.hash()) % DIGESTS
         return tuple(digests.values())
 
-    def _find(self, fingerprint: bytes) -> Case:
+    def _get_case(self, fingerprint: bytes) -> Case:
         return self.cases.setdefault(fingerprint, Case(fingerprint))
 
-    def _forget(self, now: float) -> None:
-        """Drop what is old, and of too much what tells least.
+    def _drop_cases(self, now: float) -> None:
+        """Drop expired cases, and of too many those with the least evidence.
 
-        First what was found harmless, then what fewest targets ended under;
-        what is refused goes last.
+        Cases that were found harmless go first, then those with the fewest
+        exits; refused ones go last.
         """
         oldest = now - FORGET_AFTER
         for case in tuple(self.cases.values()):
@@ -125,32 +125,32 @@
         excess = len(self.cases) - CASES_KEPT
         if excess > 0:
             ranked = sorted(self.cases.values(), key=_rank)
-            for least in ranked[:excess]:
-                self.cases.pop(least.fingerprint)
+            for excess_case in ranked[:excess]:
+                self.cases.pop(excess_case.fingerprint)
 
 
 def _list_harmful(
-    ledger: CrashLedger,
+    registry: CrashLedger,
     rows: tuple[EndRow, ...],
 ) -> set[bytes]:
     return {
-        row.fingerprint for row in rows if ledger.is_harmful(row.fingerprint)
+        row.fingerprint for row in rows if registry.is_harmful(row.fingerprint)
     }
 
 
 def find_part(fingerprint: bytes) -> int:
-    """Return the part in which a request is compared."""
+    """Return the partition of a request."""
     return fingerprint[0] % PARTS
 
 
 def split_rows(
-    told: Findings,
-    most: int,
+    findings: Findings,
+    limit: int,
 ) -> Iterator[Findings]:
-    """Yield findings of at most so many rows each."""
-    rows: tuple[EndRow | ClearRow, ...] = (*told.ends, *told.clears)
-    for start in range(0, len(rows), most):
-        yield _gather(rows[start : start + most])
+    """Yield the findings in parts of at most `limit` rows."""
+    rows: tuple[EndRow | ClearRow, ...] = (*findings.ends, *findings.clears)
+    for start in range(0, len(rows), limit):
+        yield _gather(rows[start : start + limit])
 
 
 def _gather(rows: Iterable[EndRow | ClearRow]) -> Findings:
--- a/hillfield/crashes/messages.py
+++ b/hillfield/crashes/messages.py
@@ -1,4 +1,4 @@
-"""What nodes tell each other of requests that end targets."""
+"""Messages between nodes on requests that make targets exit."""
 
 from msgspec import Struct
 
@@ -6,11 +6,11 @@
 
 
 class EndRow(Struct, frozen=True, array_like=True):
-    """Say that a target ended under a request.
+    """Report that a target exited while it ran a request.
 
-    `gate` is the node that saw it and `number` its number there; `ago` the
-    seconds since, by the sender's clock, and `lasted` those that the request
-    had run by then. Times are told as ages, since clocks differ.
+    `gate` is the node that saw it and `number` its number there; `ago` is the
+    seconds since then, by the sender's clock, and `lasted` the seconds that
+    the request had run by then. Times are sent as ages, since clocks differ.
     """
 
     fingerprint: bytes
@@ -21,10 +21,10 @@
 
 
 class ClearRow(Struct, frozen=True, array_like=True):
-    """Say that a request is harmless: what ended `ago` seconds since or more
-    tells nothing against it.
+    """Report that a request is harmless.
 
-    It was answered by a target that lived on, or an operator said so.
+    A target answered it and kept running, or an operator said so. Exits `ago`
+    seconds since or earlier are no evidence against it.
     """
 
     fingerprint: bytes
@@ -32,22 +32,22 @@
 
 
 class Findings(Struct, frozen=True, array_like=True, tag='f'):
-    """Hold what one node has found or has been told."""
+    """Hold what one node has observed or received."""
 
     ends: tuple[EndRow, ...] = ()
     clears: tuple[ClearRow, ...] = ()
 
 
 class Inquiry(Struct, frozen=True, array_like=True, tag='i'):
-    """Ask whether the receiver holds the same, by a digest of all."""
+    """Ask whether the receiver has the same reports, by a digest of all."""
 
     root: int
 
 
 class Comparison(Struct, frozen=True, array_like=True, tag='c'):
-    """Ask for what the sender doesn't know, by digests of the parts.
+    """Ask for the reports that the sender lacks, by digests of the partitions.
 
-    `answering`: it comes in answer to one, and is not answered by another.
+    `answering`: it answers another comparison, and is not answered by a third.
     """
 
     digests: tuple[int, ...]
@@ -55,7 +55,7 @@
 
 
 class StoredEnds(Struct, frozen=True, array_like=True):
-    """Hold why a request is refused, as it lasts in the store.
+    """Hold why a request is refused, as stored permanently.
 
     `written` is the wall clock in milliseconds, to which the rows' ages refer.
     """
@@ -71,8 +71,8 @@
     """Seal messages with the cluster's key, and open them.
 
     >>> codec = CrashCodec(b'key')
-    >>> told = Findings((EndRow(b'x', 'n1', 7, 0.5, 0.1),))
-    >>> codec.open(codec.seal(told)) == told
+    >>> findings = Findings((EndRow(b'x', 'n1', 7, 0.5, 0.1),))
+    >>> codec.open(codec.seal(findings)) == findings
     True
     >>> codec.open(b'noise') is None
     True
--- a/hillfield/crashes/refusing.py
+++ b/hillfield/crashes/refusing.py
@@ -1,4 +1,4 @@
-"""What a caller is told whose request ends the targets that run it."""
+"""The failure that answers a request which makes targets exit."""
 
 from collections.abc import Iterable
 from http import HTTPStatus
@@ -7,7 +7,7 @@
 from hillfield.events import EventCode
 from hillfield.model import Outcome, RequestFailure, Step
 
-# Nodes that are named in a refusal.
+# Maximum number of nodes that a refusal names.
 NAMED: Final = 5
 UNAVAILABLE: Final[int] = HTTPStatus.SERVICE_UNAVAILABLE
 BAD_GATEWAY: Final[int] = HTTPStatus.BAD_GATEWAY
@@ -15,22 +15,22 @@
 
 def describe_refusal(
     fingerprint: bytes,
-    seen: Iterable[str],
+    gates: Iterable[str],
     wait: float,
     *,
     may_have_run: bool,
 ) -> RequestFailure:
-    """Return the failure: refused at once, and told from a refusal for load.
+    """Return the failure, distinguishable from a refusal because of load.
 
-    Of this attempt not a byte has gone to a target, so it certainly has not
-    run, unless an earlier try of it `may_have_run`. `seen` are the nodes that
-    saw targets end under the request, `wait` the seconds until it is tried again
-    (inf: not before an operator lifts it).
+    No byte of this attempt has gone to a target, so it certainly has not run,
+    unless an earlier attempt `may_have_run`. `gates` are the nodes that saw
+    targets exit during the request, `wait` the seconds until it is tried again
+    (inf: not before an operator lifts the refusal).
 
     >>> describe_refusal(b'x', ['n1'], 60, may_have_run=False).outcome
     <Outcome.NOT_RUN: 'not-run'>
     """
-    names = ' '.join(sorted(set(seen))[:NAMED])
+    names = ' '.join(sorted(set(gates))[:NAMED])
     retry_after = None if may_have_run or wait == float('inf') else wait
     return RequestFailure(
         BAD_GATEWAY if may_have_run else UNAVAILABLE,
@@ -38,6 +38,6 @@
         Step.ADMIT,
         '',
         int(EventCode.CRASHING_REQUEST_REFUSED),
-        f'targets ended under request {fingerprint.hex()}, seen by {names}',
+        f'targets exited under request {fingerprint.hex()}, seen by {names}',
         retry_after,
     )
--- a/hillfield/crashes/runs.py
+++ b/hillfield/crashes/runs.py
@@ -1,4 +1,4 @@
-"""Remember which requests a target had when it ended; pure."""
+"""Remember which requests a target was running when it exited; pure."""
 
 from collections import deque
 from typing import Final
@@ -8,20 +8,19 @@
 from hillfield.model import TargetId
 
 # Seconds before the last broken connection within which others count as lost
-# by the same end: a process that ends closes all its connections at once, and
-# a busy node reads that within a tenth of this.
+# by the same exit: a process that exits closes all its connections at once,
+# and a busy node reads that within a tenth of this.
 ONE_END: Final = 0.5
-# Seconds after an end within which what is still read of it belongs to it.
+# Seconds after an exit within which further lost connections belong to it.
 SAME_END: Final = 1.0
-# Runs without an answer that are kept of one target: more than its slots.
+# Unanswered runs kept of one target: more than it has slots.
 KEPT: Final = 64
 
 
 class Run(Struct, frozen=True):
     """Hold a request that a target began and never answered.
 
-    `ended` is in monotonic seconds, `lasted` the seconds from its beginning
-    to its end.
+    `ended` is in monotonic seconds, `lasted` the seconds that it ran.
     """
 
     fingerprint: bytes
@@ -31,10 +30,10 @@
 
 
 class TargetEnd(Struct, frozen=True):
-    """Say that a target ended at a moment, and under which requests.
+    """Report that a target exited, and during which requests.
 
-    `number` tells this end from all others seen by the same node: the wall
-    clock in milliseconds when it was noticed.
+    `number` distinguishes this exit from all others seen by the same node: the
+    wall clock in milliseconds when it was noticed.
     """
 
     target: TargetId
@@ -43,10 +42,11 @@
 
 
 class LostRuns:
-    """Keep the runs that ended without an answer, until their target did.
+    """Keep the runs that ended without an answer, until their target exits.
 
-    A broken connection says nothing by itself: sick targets break single
-    connections and go on. Only with the target's end its runs are told.
+    A broken connection is no evidence by itself: unhealthy targets break
+    single connections and keep running. Runs are reported only with the
+    target's exit.
 
     >>> lost = LostRuns()
     >>> target = TargetId('till', 'a:1', 7)
@@ -59,13 +59,13 @@
     """
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without runs."""
         self._runs: deque[Run] = deque(maxlen=KEPT)
-        self._last = float('-inf')
+        self._last_exit = float('-inf')
         self._number = 0
 
     def note(self, run: Run) -> None:
-        """Note a run that ended without an answer."""
+        """Record a run that ended without an answer."""
         if run.fingerprint:
             self._runs.append(run)
 
@@ -75,18 +75,18 @@
         wall: int,
         target: TargetId,
     ) -> TargetEnd | None:
-        """Return a target's end, or None where no run was lost by it.
+        """Return the target's exit, or None where it lost no run.
 
-        What is read later of the same end comes under the same number, so it
-        never counts as a second one.
+        Connections that are found lost later get the number of the same exit,
+        so it is never counted twice.
         """
         lost = [run for run in self._runs if run.target == target]
         self._runs.clear()
         if not lost:
             return None
-        if now - self._last > SAME_END:
+        if now - self._last_exit > SAME_END:
             self._number = wall
-        self._last = now
+        self._last_exit = now
         since = max(run.ended for run in lost) - ONE_END
         runs = tuple(run for run in lost if run.ended >= since)
         return TargetEnd(target, self._number, runs)
--- a/hillfield/crashes/served.py
+++ b/hillfield/crashes/served.py
@@ -1,20 +1,20 @@
-"""Remember which requests a target has answered of late; pure."""
+"""Remember which requests a target has answered recently; pure."""
 
 from collections import OrderedDict
 from typing import Final
 
-# Seconds for which an answer speaks for a request. Common ones are answered
-# somewhere more often than this, so one of them that runs on many targets at
-# the moment when a failure domain loses power is never refused for long. A
-# release that no longer bears a request has it refused this much later.
+# Seconds for which an answer is evidence that a request is harmless. Common
+# requests are answered somewhere more often than this, so none that runs on
+# many targets when a failure domain loses power is refused for long. A release
+# that no longer handles a request has it refused this much later.
 REMEMBERED: Final = 5.0
-# Requests that are remembered, the latest ones: what a target of four slots
-# answers in this time, at 20 milliseconds each.
+# Requests remembered, the latest ones: what a target of four slots answers in
+# this time, at 20 milliseconds each.
 KEPT: Final = 1024
 
 
 class ServedRequests:
-    """Keep the fingerprints of what was answered well.
+    """Keep the fingerprints of requests that were answered well.
 
     >>> served = ServedRequests()
     >>> served.note(10.0, b'x')
@@ -23,17 +23,17 @@
     """
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without requests."""
         self._moments: OrderedDict[bytes, float] = OrderedDict()
 
     def note(self, now: float, fingerprint: bytes) -> None:
-        """Note a good answer; `now` is in monotonic seconds."""
+        """Record a good answer; `now` is in monotonic seconds."""
         self._moments[fingerprint] = now
         self._moments.move_to_end(fingerprint)
         if len(self._moments) > KEPT:
             self._moments.popitem(last=False)
 
     def knows(self, now: float, fingerprint: bytes) -> bool:
-        """Tell whether a request was answered a short while ago."""
+        """Return whether a request was answered recently."""
         moment = self._moments.get(fingerprint)
         return moment is not None and now - moment <= REMEMBERED
--- a/hillfield/crashes/tests/test_fleet.py
+++ b/hillfield/crashes/tests/test_fleet.py
@@ -1,7 +1,7 @@
-"""Who is refused and who is not, in modelled time.
+"""Which requests are refused, in a simulated fleet.
 
-Each play holds what users may see: a harmful request beside others, a common
-one while targets end for reasons of their own.
+The simulations cover what users may see: a harmful request beside others, and
+common requests while targets exit for reasons of their own.
 """
 
 from itertools import count
@@ -17,7 +17,7 @@
 
 
 class Load:
-    """Send harmless requests: one in three is common, all others are unlike."""
+    """Send harmless requests: one in three is common, all others are unique."""
 
     def __init__(self):
         self.numbers = count()
@@ -48,13 +48,13 @@
             played.ask(HARMFUL, deadly=True)
 
     fleet.play(30, act)
-    assert fleet.late[HARMFUL] == 0
+    assert fleet.late_exits[HARMFUL] == 0
     assert fleet.crashes[HARMFUL] <= 6
     assert not count_harmless(fleet.refused)
 
 
 @mark.parametrize('seed', SEEDS)
-def test_copies_sent_at_one_moment_are_refused_after_the_first_wave(seed):
+def test_simultaneous_copies_are_refused_after_the_first_wave(seed):
     fleet = Fleet(seed=seed)
     load = Load()
     waves = [101.0, 102.0, 106.0, 110.0]
@@ -67,32 +67,33 @@
                 played.ask(HARMFUL, deadly=True)
 
     fleet.play(16, act)
-    assert fleet.late[HARMFUL] == 0
+    assert fleet.late_exits[HARMFUL] == 0
 
 
 @mark.parametrize('seed', SEEDS)
-def test_losses_of_power_refuse_no_common_request(seed):
-    """Five domains lose power in 30 s, of some 1,300 common requests none is.
+def test_a_loss_of_power_refuses_no_common_request(seed):
+    """Five domains lose power in 30 s; none of some 1,300 is refused.
 
-    Without the memory of what was answered of late and the comparison of
-    digests 153 were refused in one play.
+    Without the memory of recent answers and the comparison of digests, 153
+    common requests were refused in one simulation.
     """
     fleet = Fleet(seed=seed)
     load = Load()
     fleet.play(3, load)
     for moment in range(5):
-        lost = [host for host in fleet.hosts if host.domain == moment % 3]
-        fleet.end_targets(lost, 4)
+        failed = [host for host in fleet.hosts if host.domain == moment % 3]
+        fleet.exit_targets(failed, 4)
         fleet.play(6, load)
     assert not count_harmless(fleet.refused)
 
 
 @mark.parametrize('seed', SEEDS)
-def test_groups_that_end_one_after_the_other_refuse_hardly_anyone(seed):
-    """Racks end 0.3 s apart, so what was sent on meets the next one.
+def test_racks_that_fail_in_sequence_refuse_very_few_requests(seed):
+    """Racks fail 0.3 s apart, so retried requests run on the next one.
 
-    Four times all of 30 targets end within 1.5 s: 4 to 9 of some 3,100 requests
-    are refused, each of which had lost three targets in turn by then.
+    Four times all of 30 targets exit within 1.5 s: 4 to 9 of some 3,100
+    requests are refused, each of which had lost three targets in sequence by
+    then.
     """
     fleet = Fleet(seed=seed)
     load = Load()
@@ -100,32 +101,32 @@
     racks = [fleet.hosts[number::5] for number in range(5)]
     for _ in range(4):
         for hosts in racks:
-            fleet.end_targets(hosts, 2)
+            fleet.exit_targets(hosts, 2)
             fleet.play(0.3, load)
         fleet.play(5, load)
     assert 200 * count_harmless(fleet.refused) <= count_harmless(fleet.served)
 
 
 @mark.parametrize('seed', SEEDS)
-def test_targets_that_end_one_by_one_refuse_hardly_anyone(seed):
+def test_targets_that_exit_one_by_one_refuse_very_few_requests(seed):
     fleet = Fleet(seed=seed)
     load = Load()
 
     def act(played):
         load(played)
         if not played.random.randrange(50):
-            played.end_targets([played.random.choice(played.hosts)], 2)
+            played.exit_targets([played.random.choice(played.hosts)], 2)
 
     fleet.play(60, act)
     sent = count_harmless(fleet.served)
     assert count_harmless(fleet.refused) * 2000 <= sent
 
 
-def test_nodes_that_forget_do_no_harm_to_common_requests():
+def test_nodes_that_restart_refuse_no_common_request():
     fleet = Fleet()
     load = Load()
     fleet.play(3, load)
-    fleet.end_targets(fleet.hosts[::2], 3)
+    fleet.exit_targets(fleet.hosts[::2], 3)
     fleet.restart_nodes(fleet.hosts[::2])
     fleet.play(10, load)
     assert not count_harmless(fleet.refused)
--- a/hillfield/crashes/tests/test_ledger.py
+++ b/hillfield/crashes/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""What nodes hold is the same whatever they were told, and in which order."""
+"""Nodes have equal registries whatever the order of the reports."""
 
 from hypothesis import given, settings
 from hypothesis import strategies as st
@@ -26,112 +26,112 @@
 
 
 def distinct(rows):
-    """Keep one row an end, as gates number them."""
+    """Keep one row per exit, as gates number them."""
     kept = {(row.fingerprint, row.gate, row.number): row for row in rows}
     return tuple(kept.values())
 
 
-def take_all(messages):
-    ledger = CrashLedger()
+def merge_all(messages):
+    registry = CrashLedger()
     for message in messages:
-        ledger.take(NOW, message)
-    return ledger
+        registry.take(NOW, message)
+    return registry
 
 
-def show(ledger):
+def summarize(registry):
     return {
         name: (case.harmful, None if case.harmful else sorted(case.ends))
-        for name, case in ledger.cases.items()
+        for name, case in registry.cases.items()
     }
 
 
-def make_row(turn):
-    return EndRow(b'x', 'n1', turn, 3 - turn, 0.5)
+def make_row(number):
+    return EndRow(b'x', 'n1', number, 3 - number, 0.5)
 
 
-def tell(*rows):
+def make_findings(*rows):
     return Findings(rows)
 
 
-def prove(ledger, now=NOW):
-    ledger.take(now, tell(*map(make_row, range(3))))
+def add_proof(registry, now=NOW):
+    registry.take(now, make_findings(*map(make_row, range(3))))
 
 
 @settings(derandomize=True)
 @given(MANY_ROWS, FEW_CLEARS, st.randoms())
-def test_order_and_repeats_change_nothing(rows, clears, random):
-    messages = list(map(tell, distinct(rows)))
+def test_order_and_repetition_change_nothing(rows, clears, random):
+    messages = list(map(make_findings, distinct(rows)))
     messages.extend(Findings(clears=(clear,)) for clear in clears)
     repeated = random.sample(messages, len(messages) // 2)
     shuffled = [*messages, *repeated]
     random.shuffle(shuffled)
-    one, other = take_all(messages), take_all(shuffled)
-    assert show(one) == show(other)
+    one, other = merge_all(messages), merge_all(shuffled)
+    assert summarize(one) == summarize(other)
     assert one.list_digests() == other.list_digests()
 
 
 @settings(derandomize=True)
 @given(MANY_ROWS)
-def test_what_is_told_of_differing_parts_makes_two_alike(rows):
+def test_exchanging_differing_partitions_makes_two_equal(rows):
     split = len(rows) // 2
-    one = take_all([Findings(distinct(rows))])
-    other = take_all([Findings(distinct(rows)[:split])])
-    parts = find_differing(one, other)
-    for told in split_rows(one.tell(NOW, parts), 4):
-        other.take(NOW, told)
-    assert show(one) == show(other)
-
-
-def test_a_harmful_request_is_refused_for_the_hold_and_then_tried_once():
-    ledger = CrashLedger()
-    prove(ledger)
-    case = ledger.cases[b'x']
-    assert ledger.holds(NOW + HOLD - 2, b'x')
+    one = merge_all([Findings(distinct(rows))])
+    other = merge_all([Findings(distinct(rows)[:split])])
+    partitions = find_differing(one, other)
+    for findings in split_rows(one.tell(NOW, partitions), 4):
+        other.take(NOW, findings)
+    assert summarize(one) == summarize(other)
+
+
+def test_a_harmful_request_is_refused_and_then_tried_once():
+    registry = CrashLedger()
+    add_proof(registry)
+    case = registry.cases[b'x']
+    assert registry.holds(NOW + HOLD - 2, b'x')
     later = NOW + HOLD
-    assert not ledger.holds(later, b'x')
+    assert not registry.holds(later, b'x')
     assert case.may_try(later)
     assert not case.may_try(later + 1)
 
 
-def test_each_trial_that_ends_a_target_doubles_the_hold_until_none_is_left():
-    ledger = CrashLedger()
-    prove(ledger)
+def test_each_harmful_trial_doubles_the_refusal_up_to_the_last_trial():
+    registry = CrashLedger()
+    add_proof(registry)
     first = NOW + HOLD + 5
-    ledger.take(first, tell(EndRow(b'x', 'n2', 9, 0, 0.1)))
-    assert ledger.holds(first + 2 * HOLD - 1, b'x')
+    registry.take(first, make_findings(EndRow(b'x', 'n2', 9, 0, 0.1)))
+    assert registry.holds(first + 2 * HOLD - 1, b'x')
     second = first + 2 * HOLD + 1
-    assert not ledger.holds(second, b'x')
-    ledger.take(second, tell(EndRow(b'x', 'n3', 9, 0, 0.1)))
-    assert ledger.holds(second + 1000 * HOLD, b'x')
+    assert not registry.holds(second, b'x')
+    registry.take(second, make_findings(EndRow(b'x', 'n3', 9, 0, 0.1)))
+    assert registry.holds(second + 1000 * HOLD, b'x')
 
 
-def test_what_ended_before_a_good_answer_is_void_also_when_told_later():
-    ledger = CrashLedger()
-    ledger.take(NOW, Findings(clears=(ClearRow(b'x', 0),)))
-    prove(ledger)
-    assert not ledger.cases[b'x'].ends
+def test_exits_before_a_good_answer_are_ignored_if_reported_later():
+    registry = CrashLedger()
+    registry.take(NOW, Findings(clears=(ClearRow(b'x', 0),)))
+    add_proof(registry)
+    assert not registry.cases[b'x'].ends
 
 
-def test_of_too_many_the_harmless_are_forgotten_first():
-    ledger = CrashLedger()
-    prove(ledger)
+def test_of_too_many_cases_the_harmless_are_dropped_first():
+    registry = CrashLedger()
+    add_proof(registry)
     for number in range(CASES_KEPT + 10):
         name = b'%08d' % number
-        ledger.take(NOW, tell(EndRow(name, 'n1', number, 1, 0.1)))
-    assert len(ledger.cases) == CASES_KEPT
-    assert ledger.holds(NOW, b'x')
+        registry.take(NOW, make_findings(EndRow(name, 'n1', number, 1, 0.1)))
+    assert len(registry.cases) == CASES_KEPT
+    assert registry.holds(NOW, b'x')
 
 
-def test_ends_of_one_request_are_bounded():
-    ledger = CrashLedger()
+def test_exits_of_one_request_are_bounded():
+    registry = CrashLedger()
     for number in range(100):
-        ledger.take(NOW, tell(EndRow(b'x', 'n1', number, 1, 0.5)))
-    assert len(ledger.cases[b'x'].ends) == ENDS_KEPT
-    assert not ledger.holds(NOW, b'x')
+        registry.take(NOW, make_findings(EndRow(b'x', 'n1', number, 1, 0.5)))
+    assert len(registry.cases[b'x'].ends) == ENDS_KEPT
+    assert not registry.holds(NOW, b'x')
 
 
-def test_ages_are_told_by_the_clock_of_who_tells():
-    ledger = CrashLedger()
-    prove(ledger)
-    told = ledger.tell(NOW + 7, range(16))
-    assert max(row.ago for row in told.ends) == approx(10)
+def test_ages_are_sent_by_the_clock_of_the_sender():
+    registry = CrashLedger()
+    add_proof(registry)
+    findings = registry.tell(NOW + 7, range(16))
+    assert max(row.ago for row in findings.ends) == approx(10)
