--- a/hillfield/crashes/__init__.py
+++ b/hillfield/crashes/__init__.py
@@ -1,6 +1,6 @@
 """Requests that make targets exit, recognized by fingerprint and refused."""
 
-from hillfield.crashes.asking import Asking
+from hillfield.crashes.comparing import Asking
 from hillfield.crashes.fingerprints import Fingerprinter, Likeness
 from hillfield.crashes.ledger import CrashLedger, split_rows
 from hillfield.crashes.messages import (
--- a/hillfield/crashes/cases.py
+++ b/hillfield/crashes/cases.py
@@ -6,13 +6,13 @@
 from xxhash import xxh3_64_intdigest
 
 from hillfield.crashes.messages import ClearRow, EndRow
-from hillfield.crashes.proof import SeenEnd, find_hold, is_harmful
+from hillfield.crashes.proof import SeenExit, compute_refusal_time, is_harmful
 
 # Seed of the digest of a harmful request.
-HARMFUL: Final = 1
+HARMFUL_SEED: Final = 1
 NEVER: Final = float('-inf')
 # Exits kept of one request: further exits at one moment are no new evidence.
-ENDS_KEPT: Final = 16
+MAXIMUM_EXITS: Final = 16
 
 
 @dataclass(slots=True)
@@ -26,7 +26,7 @@
     """
 
     fingerprint: bytes
-    ends: dict[tuple[str, int], SeenEnd] = field(default_factory=dict)
+    ends: dict[tuple[str, int], SeenExit] = field(default_factory=dict)
     harmful: bool = False
     cleared_at: float = NEVER
     last_trial: float = NEVER
@@ -39,16 +39,16 @@
         ended = (seen_exit.ended for seen_exit in self.ends.values())
         return max(self.cleared_at, *ended, NEVER)
 
-    def take(self, now: float, row: EndRow) -> None:
+    def add_exit(self, now: float, row: EndRow) -> None:
         """Add an exit, unless it is known, cleared, or one too many."""
         name = (row.gate, row.number)
         ended = now - row.ago
         if name in self.ends or ended <= self.cleared_at:
             return
-        if len(self.ends) >= ENDS_KEPT:
+        if len(self.ends) >= MAXIMUM_EXITS:
             return
         self._digest = None
-        self.ends[name] = SeenEnd(ended - row.lasted, ended)
+        self.ends[name] = SeenExit(ended - row.lasted, ended)
         if not self.harmful:
             self._update_harmful()
 
@@ -70,12 +70,12 @@
 
     def find_wait(self, now: float) -> float:
         """Return the seconds until a trial; inf: an operator must lift it."""
-        refusal_time = find_hold(self.ends.values())
+        refusal_time = compute_refusal_time(self.ends.values())
         return max(0, self.last + refusal_time - now)
 
     def may_try(self, now: float) -> bool:
         """Claim the trial due after the refusal; False: already claimed."""
-        if now - self.last_trial < find_hold(self.ends.values()):
+        if now - self.last_trial < compute_refusal_time(self.ends.values()):
             return False
         self.last_trial = now
         return True
@@ -92,7 +92,7 @@
             return ()
         return (ClearRow(self.fingerprint, now - self.cleared_at),)
 
-    def hash(self) -> int:
+    def compute_digest(self) -> int:
         """Return a digest that is equal at nodes that decide alike."""
         if self._digest is None:
             self._digest = _compute_digest(self)
@@ -116,7 +116,7 @@
 
 def _compute_digest(case: Case) -> int:
     if case.harmful:
-        return xxh3_64_intdigest(case.fingerprint, HARMFUL)
+        return xxh3_64_intdigest(case.fingerprint, HARMFUL_SEED)
     names = sorted(f'{gate}/{number}' for gate, number in case.ends)
     text = ' '.join((case.fingerprint.hex(), *names))
     return xxh3_64_intdigest(text.encode())
--- a/hillfield/crashes/asking.py
+++ b/hillfield/crashes/comparing.py
@@ -8,10 +8,10 @@
 
 # Seconds between comparisons of a node that has reports: the first node that
 # it asks sends all that it missed.
-ASK_EVERY: Final = 0.9
+COMPARE_INTERVAL: Final = 0.9
 # Seconds after its first comparison in which a node without reports compares
 # at each opportunity, since a message or its answer may be lost.
-JOINING: Final = 6.0
+JOINING_SECONDS: Final = 6.0
 
 
 class Asking:
@@ -37,8 +37,8 @@
     def is_due(self, now: float, *, knows: bool) -> bool:
         """Return whether to compare; `knows`: this node has reports."""
         if knows:
-            return now - self._last >= ASK_EVERY
-        return self._first is None or now - self._first < JOINING
+            return now - self._last >= COMPARE_INTERVAL
+        return self._first is None or now - self._first < JOINING_SECONDS
 
     def note_asked(self, now: float) -> None:
         """Record that a comparison was started."""
--- a/hillfield/crashes/fingerprints.py
+++ b/hillfield/crashes/fingerprints.py
@@ -7,12 +7,12 @@
 
 # Bytes of a fingerprint: with 4,000 requests tracked at once, two collide in
 # one of 10^21 fleets.
-LENGTH: Final = 12
-KEY_LENGTH: Final = 64
+FINGERPRINT_BYTES: Final = 12
+KEY_BYTES: Final = 64
 # Bytes of a body that are hashed. Longer bodies are forwarded in parts and
 # never held complete, so requests whose bodies begin alike are taken for the
 # same.
-BODY_COUNTED: Final = 65536
+BODY_BYTES: Final = 65536
 
 
 class Likeness(Struct, frozen=True):
@@ -47,8 +47,8 @@
 
     def __init__(self, key: bytes) -> None:
         """Derive the key of the hash."""
-        derived = blake2b(key, digest_size=KEY_LENGTH).digest()
-        self._empty = blake2b(digest_size=LENGTH, key=derived)
+        derived = blake2b(key, digest_size=KEY_BYTES).digest()
+        self._empty = blake2b(digest_size=FINGERPRINT_BYTES, key=derived)
 
     def take(self, identity: Likeness) -> bytes:
         """Return the fingerprint; only the body may contain a newline."""
@@ -61,5 +61,5 @@
             '',
         )
         digest.update('\n'.join(head).encode('utf-8', 'surrogateescape'))
-        digest.update(identity.body[:BODY_COUNTED])
+        digest.update(identity.body[:BODY_BYTES])
         return digest.digest()
--- a/hillfield/crashes/ledger.py
+++ b/hillfield/crashes/ledger.py
@@ -15,13 +15,13 @@
 # slots adds four of them, of which three are harmless.
 CASES_KEPT: Final = 2048
 # Seconds after which a request that isn't refused is dropped.
-FORGET_AFTER: Final = 3600.0
+CASE_EXPIRY_SECONDS: Final = 3600.0
 # Seconds between sweeps for expired cases.
-SWEEP_EVERY: Final = 60.0
+SWEEP_INTERVAL: Final = 60.0
 # Partitions that are compared by digest, so that only differing ones are sent.
-PARTS: Final = 16
+PARTITIONS: Final = 16
 # Digests are added up in 64 bits.
-DIGESTS: Final = 1 << 8 * 8
+DIGEST_MODULUS: Final = 1 << 8 * 8
 
 
 class CrashLedger:
@@ -52,9 +52,9 @@
         for clear in findings.clears:
             self._get_case(clear.fingerprint).clear(now - clear.ago)
         for row in findings.ends:
-            self._get_case(row.fingerprint).take(now, row)
+            self._get_case(row.fingerprint).add_exit(now, row)
         if now >= self._next_sweep or len(self.cases) > CASES_KEPT:
-            self._next_sweep = now + SWEEP_EVERY
+            self._next_sweep = now + SWEEP_INTERVAL
             self._drop_cases(now)
         return _list_harmful(self, findings.ends) - before
 
@@ -85,7 +85,7 @@
         cases = [
             case
             for fingerprint, case in self.cases.items()
-            if find_part(fingerprint) in partitions
+            if find_partition(fingerprint) in partitions
         ]
         return Findings(
             tuple(row for case in cases for row in case.list_ends(now)),
@@ -100,13 +100,15 @@
 
     def find_root(self) -> int:
         """Return the digest of all reports."""
-        return sum(self.list_digests()) % DIGESTS
+        return sum(self.list_digests()) % DIGEST_MODULUS
 
     def _compute_digests(self) -> tuple[int, ...]:
-        digests = dict.fromkeys(range(PARTS), 0)
+        digests = dict.fromkeys(range(PARTITIONS), 0)
         for fingerprint, case in self.cases.items():
-            partition = find_part(fingerprint)
-            digests[partition] = (digests[partition] + case.hash()) % DIGESTS
+            partition = find_partition(fingerprint)
+            digests[partition] = (
+                digests[partition] + case.compute_digest()
+            ) % DIGEST_MODULUS
         return tuple(digests.values())
 
     def _get_case(self, fingerprint: bytes) -> Case:
@@ -118,7 +120,7 @@
         Cases that were found harmless go first, then those with the fewest
         exits; refused ones go last.
         """
-        oldest = now - FORGET_AFTER
+        oldest = now - CASE_EXPIRY_SECONDS
         for case in tuple(self.cases.values()):
             if case.last < oldest and not case.harmful:
                 self.cases.pop(case.fingerprint)
@@ -138,9 +140,9 @@
     }
 
 
-def find_part(fingerprint: bytes) -> int:
+def find_partition(fingerprint: bytes) -> int:
     """Return the partition of a request."""
-    return fingerprint[0] % PARTS
+    return fingerprint[0] % PARTITIONS
 
 
 def split_rows(
--- a/hillfield/crashes/refusing.py
+++ b/hillfield/crashes/refusing.py
@@ -8,7 +8,7 @@
 from hillfield.model import Outcome, RequestFailure, Step
 
 # Maximum number of nodes that a refusal names.
-NAMED: Final = 5
+MAXIMUM_NAMES: Final = 5
 UNAVAILABLE: Final[int] = HTTPStatus.SERVICE_UNAVAILABLE
 BAD_GATEWAY: Final[int] = HTTPStatus.BAD_GATEWAY
 
@@ -30,7 +30,7 @@
     >>> describe_refusal(b'x', ['n1'], 60, may_have_run=False).outcome
     <Outcome.NOT_RUN: 'not-run'>
     """
-    names = ' '.join(sorted(set(gates))[:NAMED])
+    names = ' '.join(sorted(set(gates))[:MAXIMUM_NAMES])
     retry_after = None if may_have_run or wait == float('inf') else wait
     return RequestFailure(
         BAD_GATEWAY if may_have_run else UNAVAILABLE,
--- a/hillfield/crashes/runs.py
+++ b/hillfield/crashes/runs.py
@@ -10,11 +10,11 @@
 # Seconds before the last broken connection within which others count as lost
 # by the same exit: a process that exits closes all its connections at once,
 # and a busy node reads that within a tenth of this.
-ONE_END: Final = 0.5
+EXIT_WINDOW_SECONDS: Final = 0.5
 # Seconds after an exit within which further lost connections belong to it.
-SAME_END: Final = 1.0
+SAME_EXIT_SECONDS: Final = 1.0
 # Unanswered runs kept of one target: more than it has slots.
-KEPT: Final = 64
+MAXIMUM_RUNS: Final = 64
 
 
 class Run(Struct, frozen=True):
@@ -50,26 +50,26 @@
 
     >>> lost = LostRuns()
     >>> target = TargetId('till', 'a:1', 7)
-    >>> lost.note(Run(b'x', target, 10.0, 0.1))
-    >>> lost.note(Run(b'y', target, 14.0, 0.1))
-    >>> [run.fingerprint for run in lost.close(14.1, 14100, target).runs]
+    >>> lost.record(Run(b'x', target, 10.0, 0.1))
+    >>> lost.record(Run(b'y', target, 14.0, 0.1))
+    >>> [run.fingerprint for run in lost.build_exit(14.1, 14100, target).runs]
     [b'y']
-    >>> lost.close(15.0, 15000, target) is None
+    >>> lost.build_exit(15.0, 15000, target) is None
     True
     """
 
     def __init__(self) -> None:
         """Start without runs."""
-        self._runs: deque[Run] = deque(maxlen=KEPT)
+        self._runs: deque[Run] = deque(maxlen=MAXIMUM_RUNS)
         self._last_exit = float('-inf')
         self._number = 0
 
-    def note(self, run: Run) -> None:
+    def record(self, run: Run) -> None:
         """Record a run that ended without an answer."""
         if run.fingerprint:
             self._runs.append(run)
 
-    def close(
+    def build_exit(
         self,
         now: float,
         wall: int,
@@ -84,9 +84,9 @@
         self._runs.clear()
         if not lost:
             return None
-        if now - self._last_exit > SAME_END:
+        if now - self._last_exit > SAME_EXIT_SECONDS:
             self._number = wall
         self._last_exit = now
-        since = max(run.ended for run in lost) - ONE_END
+        since = max(run.ended for run in lost) - EXIT_WINDOW_SECONDS
         runs = tuple(run for run in lost if run.ended >= since)
         return TargetEnd(target, self._number, runs)
--- a/hillfield/crashes/served.py
+++ b/hillfield/crashes/served.py
@@ -7,10 +7,10 @@
 # requests are answered somewhere more often than this, so none that runs on
 # many targets when a failure domain loses power is refused for long. A release
 # that no longer handles a request has it refused this much later.
-REMEMBERED: Final = 5.0
+MEMORY_SECONDS: Final = 5.0
 # Requests remembered, the latest ones: what a target of four slots answers in
 # this time, at 20 milliseconds each.
-KEPT: Final = 1024
+MAXIMUM_REQUESTS: Final = 1024
 
 
 class ServedRequests:
@@ -30,10 +30,10 @@
         """Record a good answer; `now` is in monotonic seconds."""
         self._moments[fingerprint] = now
         self._moments.move_to_end(fingerprint)
-        if len(self._moments) > KEPT:
+        if len(self._moments) > MAXIMUM_REQUESTS:
             self._moments.popitem(last=False)
 
     def knows(self, now: float, fingerprint: bytes) -> bool:
         """Return whether a request was answered recently."""
         moment = self._moments.get(fingerprint)
-        return moment is not None and now - moment <= REMEMBERED
+        return moment is not None and now - moment <= MEMORY_SECONDS
--- a/hillfield/crashes/tests/fleet.py
+++ b/hillfield/crashes/tests/fleet.py
@@ -166,11 +166,11 @@
         host.incarnation += 1
         for request in running:
             lasted = self.now - request.began
-            host.lost.note(Run(request.name, target, self.now, lasted))
+            host.lost.record(Run(request.name, target, self.now, lasted))
             if request.deadly:
                 self._count(request)
         self.number += 1
-        target_exit = host.lost.close(self.now, self.number, target)
+        target_exit = host.lost.build_exit(self.now, self.number, target)
         if target_exit is not None:
             self._report_exit(host, target_exit)
         for request in running:
--- a/hillfield/crashes/tests/test_ledger.py
+++ b/hillfield/crashes/tests/test_registry.py
@@ -4,10 +4,10 @@
 from hypothesis import strategies as st
 from pytest import approx
 
-from hillfield.crashes.cases import ENDS_KEPT
+from hillfield.crashes.cases import MAXIMUM_EXITS
 from hillfield.crashes.ledger import CASES_KEPT, CrashLedger, split_rows
 from hillfield.crashes.messages import ClearRow, EndRow, Findings
-from hillfield.crashes.proof import HOLD
+from hillfield.crashes.proof import REFUSAL_SECONDS
 from hillfield.crashes.tests.fleet import find_differing
 
 NOW = 1000.0
@@ -86,8 +86,8 @@
     registry = CrashLedger()
     add_proof(registry)
     case = registry.cases[b'x']
-    assert registry.holds(NOW + HOLD - 2, b'x')
-    later = NOW + HOLD
+    assert registry.holds(NOW + REFUSAL_SECONDS - 2, b'x')
+    later = NOW + REFUSAL_SECONDS
     assert not registry.holds(later, b'x')
     assert case.may_try(later)
     assert not case.may_try(later + 1)
@@ -96,13 +96,13 @@
 def test_each_harmful_trial_doubles_the_refusal_up_to_the_last_trial():
     registry = CrashLedger()
     add_proof(registry)
-    first = NOW + HOLD + 5
+    first = NOW + REFUSAL_SECONDS + 5
     registry.take(first, make_findings(EndRow(b'x', 'n2', 9, 0, 0.1)))
-    assert registry.holds(first + 2 * HOLD - 1, b'x')
-    second = first + 2 * HOLD + 1
+    assert registry.holds(first + 2 * REFUSAL_SECONDS - 1, b'x')
+    second = first + 2 * REFUSAL_SECONDS + 1
     assert not registry.holds(second, b'x')
     registry.take(second, make_findings(EndRow(b'x', 'n3', 9, 0, 0.1)))
-    assert registry.holds(second + 1000 * HOLD, b'x')
+    assert registry.holds(second + 1000 * REFUSAL_SECONDS, b'x')
 
 
 def test_exits_before_a_good_answer_are_ignored_if_reported_later():
@@ -126,7 +126,7 @@
     registry = CrashLedger()
     for number in range(100):
         registry.take(NOW, make_findings(EndRow(b'x', 'n1', number, 1, 0.5)))
-    assert len(registry.cases[b'x'].ends) == ENDS_KEPT
+    assert len(registry.cases[b'x'].ends) == MAXIMUM_EXITS
     assert not registry.holds(NOW, b'x')
 
 
--- a/hillfield/gate/notes.py
+++ b/hillfield/gate/notes.py
@@ -94,7 +94,7 @@
 
         `wall` is the wall clock in milliseconds. None: no request was lost.
         """
-        target_exit = self._state.lost_runs.close(now, wall, target)
+        target_exit = self._state.lost_runs.build_exit(now, wall, target)
         if target_exit is not None:
             self._state.journal.record(
                 Occurrence(
