--- a/hillfield/gate/headers.py
+++ b/hillfield/gate/headers.py
@@ -6,7 +6,7 @@
 
 from hillfield.clocks import monotonic
 from hillfield.gate.gate import Gate
-from hillfield.loadreports import write_room
+from hillfield.loadreports import write_capacity
 from hillfield.proxy import ProxySettings
 
 
@@ -21,4 +21,4 @@
     if gate.closing:
         return ''
     report = gate.report_on_answer(monotonic())
-    return '' if report is None else write_room(report)
+    return '' if report is None else write_capacity(report)
--- a/hillfield/gate/hop.py
+++ b/hillfield/gate/hop.py
@@ -9,7 +9,7 @@
 from tornado.httputil import HTTPHeaders
 
 from hillfield.events import EventCode
-from hillfield.loadreports import ROOM, LoadReport, read_room
+from hillfield.loadreports import ROOM, LoadReport, read_capacity
 from hillfield.model import (
     LifeNotice,
     Outcome,
@@ -161,7 +161,7 @@
     ) -> LoadReport | None:
         """Read the free capacity of the target that its gate reports."""
         field_text = headers.get(ROOM)
-        return None if field_text is None else read_room(target, field_text)
+        return None if field_text is None else read_capacity(target, field_text)
 
     def read_notice(
         self,
--- a/hillfield/gate/tests/test_headers.py
+++ b/hillfield/gate/tests/test_headers.py
@@ -6,7 +6,7 @@
 from hillfield.events import ListJournal
 from hillfield.gate import Gate, HopDialect, Seat
 from hillfield.gate.headers import add_room
-from hillfield.loadreports import Held, read_room
+from hillfield.loadreports import Held, read_capacity
 from hillfield.model import (
     Address,
     Locality,
@@ -34,7 +34,7 @@
 
 
 def read(gate):
-    return read_room(IDENTITY, write(gate))
+    return read_capacity(IDENTITY, write(gate))
 
 
 def admit(gate, name, now=0):
@@ -86,7 +86,7 @@
         attempt.hung = True
     later = replace(TARGET, id=replace(IDENTITY, incarnation=8))
     gate.take_seat(Seat(later, 'i-2'))
-    report = read_room(later.id, write(gate))
+    report = read_capacity(later.id, write(gate))
     assert report is not None
     assert report.usable == 2
     assert read(gate) is None
--- a/hillfield/gate/tests/test_limit.py
+++ b/hillfield/gate/tests/test_limit.py
@@ -8,7 +8,7 @@
 from hillfield.gate import Gate, Seat
 from hillfield.gate.limit import BURST_SECONDS, MINIMUM_RATE, RateLimit
 from hillfield.gate.waiting import MAXIMUM_WAIT
-from hillfield.loadreports import read_room, write_room
+from hillfield.loadreports import read_capacity, write_capacity
 from hillfield.model import (
     Address,
     LifeNotice,
@@ -255,7 +255,7 @@
     gate.finish(0.1, sent.attempt, Answered(200))
     report = gate.report(0.1)
     assert report.notice == LifeNotice('i-1', 2.5)
-    assert read_room(IDENTITY, write_room(report)) == report
+    assert read_capacity(IDENTITY, write_capacity(report)) == report
     sent = gate.admit(1, arrive('b', 1))
     gate.note_notice(1.2, sent.attempt, TargetNotice())
     assert gate.report(1.2).notice is None
--- a/hillfield/loadreports/__init__.py
+++ b/hillfield/loadreports/__init__.py
@@ -1,6 +1,6 @@
 """Load reports: the free capacity of a target, as its gate reports it."""
 
-from hillfield.loadreports.fields import ROOM, read_room, write_room
+from hillfield.loadreports.fields import ROOM, read_capacity, write_capacity
 from hillfield.loadreports.pacing import ReportPacer
 from hillfield.loadreports.reports import Held, LoadReport, ReportCodec
 
@@ -10,6 +10,6 @@
     'LoadReport',
     'ReportCodec',
     'ReportPacer',
-    'read_room',
-    'write_room',
+    'read_capacity',
+    'write_capacity',
 )
--- a/hillfield/loadreports/fields.py
+++ b/hillfield/loadreports/fields.py
@@ -32,10 +32,10 @@
 _DECODER: Final = Decoder(_CapacityField)
 
 
-def write_room(report: LoadReport) -> str:
+def write_capacity(report: LoadReport) -> str:
     """Return the header's value.
 
-    >>> write_room(LoadReport('fees', '10.0.0.1', 80, 7, 1, 0, 2, wait=0.02))
+    >>> write_capacity(LoadReport('fees', '10.0.0.1', 80, 7, 1, 0, 2, wait=0.02))
     '[7,1,0,2,0,0.02,0]'
     """
     field = _CapacityField(
@@ -51,18 +51,18 @@
     return encode_row(field).decode()
 
 
-def read_room(target: TargetId, text: str) -> LoadReport | None:
+def read_capacity(target: TargetId, text: str) -> LoadReport | None:
     """Return the report of the incarnation that a request was for.
 
     None: the value is malformed, or another incarnation has replaced it.
 
     >>> from hillfield.model import Address
     >>> target = TargetId('fees', Address('10.0.0.1', 80), 7)
-    >>> read_room(target, '[7,1,0,2,0,0.02,0]').waiting
+    >>> read_capacity(target, '[7,1,0,2,0,0.02,0]').waiting
     2
-    >>> read_room(target, '[8,1,5,0,0]') is None
+    >>> read_capacity(target, '[8,1,5,0,0]') is None
     True
-    >>> read_room(target, '') is None
+    >>> read_capacity(target, '') is None
     True
     """
     try:
--- a/hillfield/loadreports/pacing.py
+++ b/hillfield/loadreports/pacing.py
@@ -18,10 +18,10 @@
 
 # Seconds between two reports to the own failure domain: a request takes ten
 # times as long.
-NEAR_GAP: Final = 0.01
+NEAR_INTERVAL: Final = 0.01
 # Seconds between two reports to another failure domain, over links whose bytes
 # cost much; a report and the requests it saves weigh 0.1 and 2 kB.
-FAR_GAP: Final = 0.25
+FAR_INTERVAL: Final = 0.25
 # Seconds after which a report is repeated, twice: datagrams get lost.
 NEAR_REFRESH: Final = 2.0
 FAR_REFRESH: Final = 4.0
@@ -30,21 +30,21 @@
 # a report counts as free, so only nodes that have just started lack it. With
 # 93 nodes under usual load, half of the 80 reports that each sent per second
 # contained no change.
-LATER_REFRESH: Final = 10.0
+UNCHANGED_REFRESH: Final = 10.0
 # Datagrams per second that a node may send, and save up: 90 bytes each, so at
 # most 9 KB per second on average, none of them to another failure domain.
 DATAGRAM_RATE: Final = 100.0
 DATAGRAM_BURST: Final = 120.0
 # Of those, datagrams per second for the queue length: it changes as often as
 # the free capacity does, and affects a choice less.
-LINE_RATE: Final = 40.0
+QUEUE_RATE: Final = 40.0
 # Repetitions of one report for which datagrams are reserved before one that
 # can wait: a quarantined target, or one with capacity again, is reported at
 # once. With 40 receivers, a target that was reported as full and could not be
 # reported as free for a second would stay idle.
-SPARED_TELLINGS: Final = 1
+RESERVED_REPORTS: Final = 1
 # Queue lengths in rounds of the slots that are distinguished.
-MOST_TURNS: Final = 3
+MAXIMUM_ROUNDS: Final = 3
 
 
 class _Importance(Enum):
@@ -100,7 +100,7 @@
     ) -> bool:
         """Return whether the own failure domain is due a report; record it."""
         state = _summarize(now, report, slots)
-        if not _is_due(self._near, state, NEAR_GAP, NEAR_REFRESH):
+        if not _is_due(self._near, state, NEAR_INTERVAL, NEAR_REFRESH):
             return False
         self._refill(now)
         if not self._consume(_rank_change(self._near, state), receivers):
@@ -111,7 +111,7 @@
     def is_due_far(self, now: float, report: LoadReport) -> bool:
         """Return whether other failure domains are due a report; record it."""
         state = _summarize(now, report, 0)
-        if not _is_due(self._far, state, FAR_GAP, FAR_REFRESH):
+        if not _is_due(self._far, state, FAR_INTERVAL, FAR_REFRESH):
             return False
         self._far = _count_sent(self._far, state)
         return True
@@ -130,13 +130,13 @@
         elapsed = now - self._refilled_at
         self._refilled_at = now
         self._bucket.deposit(elapsed * DATAGRAM_RATE)
-        self._queue_bucket.deposit(elapsed * LINE_RATE)
+        self._queue_bucket.deposit(elapsed * QUEUE_RATE)
 
     def _consume(self, importance: _Importance, datagrams: int) -> bool:
         reserved = (
             0
             if importance is _Importance.URGENT
-            else SPARED_TELLINGS * datagrams
+            else RESERVED_REPORTS * datagrams
         )
         if not self._bucket.can_take(datagrams + reserved):
             return False
@@ -150,7 +150,12 @@
 def _summarize(now: float, report: LoadReport, slots: int) -> _SentState:
     rounds = ceil(report.waiting / slots) if slots else 0
     has_capacity = report.free > 0
-    return _SentState(has_capacity, min(MOST_TURNS, rounds), report.held, now)
+    return _SentState(
+        has_capacity,
+        min(MAXIMUM_ROUNDS, rounds),
+        report.held,
+        now,
+    )
 
 
 def _rank_change(sent: _SentState | None, state: _SentState) -> _Importance:
@@ -175,12 +180,13 @@
     if sent.outdated or sent.differs(state):
         return elapsed >= interval
     if sent.times > REPEATS:
-        refresh = LATER_REFRESH
+        refresh = UNCHANGED_REFRESH
     return elapsed >= refresh
 
 
 def _mark_outdated(
-    sent: _SentState | None, answered: _SentState
+    sent: _SentState | None,
+    answered: _SentState,
 ) -> _SentState | None:
     if sent is None or sent.outdated:
         return sent
--- a/hillfield/loadreports/sealing.py
+++ b/hillfield/loadreports/sealing.py
@@ -7,8 +7,8 @@
 from msgspec import MsgspecError
 from msgspec.msgpack import Decoder, Encoder
 
-MAC_LENGTH: Final = 8
-KEY_LIMIT: Final = 64
+MAC_BYTES: Final = 8
+KEY_BYTES: Final = 64
 Message = TypeVar('Message')
 
 
@@ -24,7 +24,7 @@
 
     def __init__(self, key: bytes, message_type: Any) -> None:
         """Derive the key of the MAC; `message_type` is the messages' type."""
-        self._key = blake2b(key, digest_size=KEY_LIMIT).digest()
+        self._key = blake2b(key, digest_size=KEY_BYTES).digest()
         self._encoder = Encoder()
         self._decoder: Decoder[Message] = Decoder(message_type)
 
@@ -35,7 +35,7 @@
 
     def open(self, datagram: bytes) -> Message | None:
         """Return the message, or None if it isn't of this cluster."""
-        mac, body = datagram[:MAC_LENGTH], datagram[MAC_LENGTH:]
+        mac, body = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
         if not compare_digest(mac, self._sign(body)):
             return None
         try:
@@ -44,4 +44,4 @@
             return None
 
     def _sign(self, body: bytes) -> bytes:
-        return blake2b(body, digest_size=MAC_LENGTH, key=self._key).digest()
+        return blake2b(body, digest_size=MAC_BYTES, key=self._key).digest()
--- a/hillfield/loadreports/tests/test_fields.py
+++ b/hillfield/loadreports/tests/test_fields.py
@@ -4,7 +4,12 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from hillfield.loadreports import Held, LoadReport, read_room, write_room
+from hillfield.loadreports import (
+    Held,
+    LoadReport,
+    read_capacity,
+    write_capacity,
+)
 from hillfield.model import Address, TargetId
 
 TARGET = TargetId('fees', Address('10.0.0.1', 80), 7)
@@ -26,18 +31,21 @@
 
 @given(reports)
 def test_a_written_report_is_read(report):
-    assert read_room(TARGET, write_room(report)) == report
+    assert read_capacity(TARGET, write_capacity(report)) == report
 
 
 @given(st.text())
 def test_malformed_values_are_ignored(text):
-    report = read_room(TARGET, text)
+    report = read_capacity(TARGET, text)
     assert report is None or report.target == TARGET
 
 
 def test_reports_of_another_incarnation_are_ignored():
     """A restarted target has the address of the earlier incarnation."""
     report = LoadReport('fees', '10.0.0.1', 80, 8, 1, 5)
-    assert read_room(TARGET, write_room(report)) is None
+    assert read_capacity(TARGET, write_capacity(report)) is None
     same_incarnation = replace(report, incarnation=7)
-    assert read_room(TARGET, write_room(same_incarnation)) == same_incarnation
+    assert (
+        read_capacity(TARGET, write_capacity(same_incarnation))
+        == same_incarnation
+    )
--- a/hillfield/loadreports/tests/test_pacing.py
+++ b/hillfield/loadreports/tests/test_pacing.py
@@ -10,9 +10,9 @@
 from hillfield.loadreports.pacing import (
     DATAGRAM_BURST,
     DATAGRAM_RATE,
-    FAR_GAP,
+    FAR_INTERVAL,
     FAR_REFRESH,
-    NEAR_GAP,
+    NEAR_INTERVAL,
     NEAR_REFRESH,
 )
 
@@ -56,8 +56,8 @@
 def test_the_last_slot_is_reported_at_once_near_and_later_far():
     sent_reports = start()
     sent_reports.record(10, FREE)
-    assert sent_reports.record(10 + 2 * NEAR_GAP, FULL) == (2, 1)
-    assert sent_reports.record(10 + 2 * FAR_GAP, FULL) == (2, 2)
+    assert sent_reports.record(10 + 2 * NEAR_INTERVAL, FULL) == (2, 1)
+    assert sent_reports.record(10 + 2 * FAR_INTERVAL, FULL) == (2, 2)
 
 
 def test_a_change_of_withheld_work_is_reported():
@@ -95,7 +95,7 @@
     sent = sent_reports.near * RECEIVERS
     allowed = DATAGRAM_BURST + DATAGRAM_RATE * now
     assert sent <= allowed + RECEIVERS
-    assert sent_reports.far <= 1 + now / FAR_GAP
+    assert sent_reports.far <= 1 + now / FAR_INTERVAL
 
 
 def test_datagrams_that_are_no_report_are_refused():
@@ -117,12 +117,12 @@
     sent_reports = start()
     now = float()
     for step in range(100):
-        now = 10 + 2 * step * NEAR_GAP
+        now = 10 + 2 * step * NEAR_INTERVAL
         waiting = step % 2 * SLOTS
         sent_reports.record(now, replace(FULL, waiting=waiting))
     before = sent_reports.near
     assert before < 100 / 4
-    now += 2 * NEAR_GAP
+    now += 2 * NEAR_INTERVAL
     sent_reports.record(now, FREE)
     assert sent_reports.near == before + 1
 
@@ -150,7 +150,7 @@
     now = float(10)
     while sent_reports.pacer.is_due_near(now, FREE, SLOTS, RECEIVERS):
         sent_reports.pacer.note_answer(now, FULL)
-        now += 2 * NEAR_GAP
+        now += 2 * NEAR_INTERVAL
     later = now + RECEIVERS / DATAGRAM_RATE
     assert sent_reports.pacer.is_due_near(later, FREE, SLOTS, RECEIVERS)
 
@@ -175,4 +175,4 @@
             sent_reports.record(now, report)
     allowed = DATAGRAM_BURST + DATAGRAM_RATE * now
     assert sent_reports.near * RECEIVERS <= allowed + RECEIVERS
-    assert sent_reports.far <= 1 + now / FAR_GAP
+    assert sent_reports.far <= 1 + now / FAR_INTERVAL
--- a/hillfield/quotas/counting.py
+++ b/hillfield/quotas/counting.py
@@ -21,22 +21,22 @@
 # Seconds over which an account's request rate is estimated: with 1 s a surge
 # is detected later, and a small account gets 1.12 times its limit instead of
 # 1.04.
-ASKED_SECONDS: Final = 0.5
+RATE_WINDOW_SECONDS: Final = 0.5
 # Requests that an account may save up beyond its burst: the requests of small
 # accounts cluster by chance, and 5 in a window are a quarter of the permitted
 # counting error (quotaSlack 20 in 5 s).
-ALLOWANCE: Final = 5.0
+EXTRA_BURST: Final = 5.0
 # Seconds between two messages to all nodes on a share below 1: each request of
 # a small account comes through another node, and in a model of 93 nodes 1.4
 # times the limit would pass without.
-TELL_GAP: Final = 0.5
+UPDATE_INTERVAL: Final = 0.5
 # Seconds without a report after which an account's counts are dropped: its
 # bucket is full again.
-COUNT_KEPT: Final = 30.0
+COUNT_EXPIRY_SECONDS: Final = 30.0
 # Bounds of the seconds that refused callers are told to wait.
-LEAST_WAIT: Final = 0.5
-MOST_WAIT: Final = 5.0
-WHOLE: Final = 1.0
+MINIMUM_WAIT: Final = 0.5
+MAXIMUM_WAIT: Final = 5.0
+FULL_SHARE: Final = 1.0
 
 
 @dataclass(slots=True)
@@ -53,7 +53,7 @@
     request_rate: float = 0
     totals: dict[str, tuple[int, int]] = field(default_factory=dict)
     sent_at: float = -inf
-    share: float = WHOLE
+    share: float = FULL_SHARE
 
 
 class UseCounter:
@@ -92,7 +92,7 @@
         return tuple(
             answer
             for answer in answers
-            if answer is not None and answer.share < WHOLE
+            if answer is not None and answer.share < FULL_SHARE
         )
 
     def list_news(self, now: float, fraction: float) -> tuple[ShareRow, ...]:
@@ -100,7 +100,7 @@
         due = [
             (self._limits[name], count)
             for name, count in self._counts.items()
-            if name in self._limits and now - count.sent_at >= TELL_GAP
+            if name in self._limits and now - count.sent_at >= UPDATE_INTERVAL
         ]
         updates = (
             _update_share(count, now, account, fraction)
@@ -121,27 +121,29 @@
         count = self._counts.get(row.account)
         if count is None:
             # Earlier usage is unknown, so no burst is saved up.
-            count = _Count(ALLOWANCE, now)
+            count = _Count(EXTRA_BURST, now)
             self._counts[row.account] = count
         asked, passed = _compute_increase(count, sender, row)
         _refill(count, now, account, fraction)
         count.tokens -= passed
-        count.request_rate += asked / ASKED_SECONDS
+        count.request_rate += asked / RATE_WINDOW_SECONDS
         return _build_row(count, account, fraction)
 
     def _sweep(self, now: float) -> None:
-        if now - self._swept_at < COUNT_KEPT:
+        if now - self._swept_at < COUNT_EXPIRY_SECONDS:
             return
         self._swept_at = now
         self._counts = {
             name: count
             for name, count in self._counts.items()
-            if now - count.moment < COUNT_KEPT
+            if now - count.moment < COUNT_EXPIRY_SECONDS
         }
 
 
 def _compute_increase(
-    count: _Count, sender: str, row: UseRow
+    count: _Count,
+    sender: str,
+    row: UseRow,
 ) -> tuple[int, int]:
     """Return the requests received and passed since the last report."""
     before = count.totals.get(sender)
@@ -159,10 +161,10 @@
 ) -> None:
     seconds = max(0, now - count.moment)
     count.moment = max(now, count.moment)
-    full = account.burst * fraction + ALLOWANCE
+    full = account.burst * fraction + EXTRA_BURST
     gained = account.rate * fraction * seconds
     count.tokens = min(full, count.tokens + gained)
-    count.request_rate *= exp(-seconds / ASKED_SECONDS)
+    count.request_rate *= exp(-seconds / RATE_WINDOW_SECONDS)
 
 
 def _update_share(
@@ -176,7 +178,7 @@
     row = _build_row(count, account, fraction)
     before = count.share
     count.share = row.share
-    if min(before, row.share) >= WHOLE:
+    if min(before, row.share) >= FULL_SHARE:
         return None
     count.sent_at = now
     return row
@@ -189,10 +191,10 @@
 ) -> ShareRow:
     allowed = account.rate * fraction + count.tokens / BALANCE_SECONDS
     asked = max(count.request_rate, 1)
-    share = min(WHOLE, max(0, allowed) / asked)
+    share = min(FULL_SHARE, max(0, allowed) / asked)
     wait = -count.tokens / (account.rate * fraction)
     return ShareRow(account.name, round(share, 3), _bound_wait(wait))
 
 
 def _bound_wait(wait: float) -> float:
-    return round(min(MOST_WAIT, max(LEAST_WAIT, wait)), 2)
+    return round(min(MAXIMUM_WAIT, max(MINIMUM_WAIT, wait)), 2)
--- a/hillfield/quotas/local.py
+++ b/hillfield/quotas/local.py
@@ -11,19 +11,19 @@
 # Seconds between two reports of one account by one node. In a model of 93
 # nodes, 0.3 s enforces a limit no better (0.92 against 0.93 of the permitted
 # requests in the worst window) and costs a fifteenth more messages.
-REPORT_GAP: Final = 0.5
+REPORT_INTERVAL: Final = 0.5
 # Multiple of the usual number of requests between two reports after which a
 # node reports sooner: 0.2 s instead of 0.5 s after a surge begins.
-CROWD: Final = 1.5
-LEAST_USUAL: Final = 1.0
+SURGE_FACTOR: Final = 1.5
+MINIMUM_USUAL: Final = 1.0
 # Seconds for which a share applies without a new message: one is sent every
 # 0.5 s, so three may be lost before all requests of the account pass.
-SHARE_KEPT: Final = 2.0
+SHARE_EXPIRY_SECONDS: Final = 2.0
 # Seconds without a request after which an account's counts are dropped.
-COUNT_KEPT: Final = 30.0
+COUNT_EXPIRY_SECONDS: Final = 30.0
 # The share with which all requests pass; also the credit that one request
 # costs.
-WHOLE: Final = 1.0
+FULL_SHARE: Final = 1.0
 
 
 @dataclass(slots=True)
@@ -41,15 +41,15 @@
     reported: float = -inf
     usual: float = 0
     used_at: float = 0
-    share: float = WHOLE
+    share: float = FULL_SHARE
     share_until: float = -inf
     wait: float = 0
 
     def is_due(self, now: float) -> bool:
         """Return whether a report is due: periodically, or after a surge."""
-        if now - self.reported >= REPORT_GAP:
+        if now - self.reported >= REPORT_INTERVAL:
             return True
-        return self.asked - self.reported_asked > CROWD * self.usual
+        return self.asked - self.reported_asked > SURGE_FACTOR * self.usual
 
 
 class LocalUse:
@@ -93,7 +93,7 @@
             usage.used_at = now
             usage.share = row.share
             usage.wait = row.wait
-            usage.share_until = now + SHARE_KEPT
+            usage.share_until = now + SHARE_EXPIRY_SECONDS
 
     def _find(self, name: str) -> _Usage:
         usage = self._usage.get(name)
@@ -107,29 +107,30 @@
         fresh = usage.asked - usage.reported_asked
         passed = usage.passed - usage.reported_passed
         row = UseRow(name, usage.asked, usage.passed, fresh, passed)
-        seconds = max(REPORT_GAP, now - usage.reported)
-        usage.usual += (fresh * REPORT_GAP / seconds - usage.usual) / 2
-        usage.usual = max(usage.usual, LEAST_USUAL)
+        seconds = max(REPORT_INTERVAL, now - usage.reported)
+        usage.usual += (fresh * REPORT_INTERVAL / seconds - usage.usual) / 2
+        usage.usual = max(usage.usual, MINIMUM_USUAL)
         usage.reported = now
         usage.reported_asked = usage.asked
         usage.reported_passed = usage.passed
         return row
 
     def _sweep(self, now: float) -> None:
-        if now - self._swept_at < COUNT_KEPT:
+        if now - self._swept_at < COUNT_EXPIRY_SECONDS:
             return
         self._swept_at = now
         self._usage = {
             name: usage
             for name, usage in self._usage.items()
-            if name in self._pending or now - usage.used_at < COUNT_KEPT
+            if name in self._pending
+            or now - usage.used_at < COUNT_EXPIRY_SECONDS
         }
 
 
 def _consume_share(usage: _Usage) -> bool:
     """Return whether a request passes; those that pass are evenly spread."""
-    usage.credit = min(WHOLE, usage.credit) + usage.share
-    if usage.credit < WHOLE:
+    usage.credit = min(FULL_SHARE, usage.credit) + usage.share
+    if usage.credit < FULL_SHARE:
         return False
-    usage.credit -= WHOLE
+    usage.credit -= FULL_SHARE
     return True
--- a/hillfield/quotas/membership.py
+++ b/hillfield/quotas/membership.py
@@ -9,7 +9,7 @@
 # Seconds for which a node that became unreachable without announcing its end
 # may still let requests through: a partition rarely lasts longer, and never so
 # long that all callers stay.
-SILENCE_HELD: Final = 15.0
+SILENCE_SECONDS: Final = 15.0
 
 
 class Membership:
@@ -41,7 +41,7 @@
         if alive != self._reachable:
             for lost in self._reachable - alive:
                 if not has_left(lost):
-                    self._silent[lost] = now + SILENCE_HELD
+                    self._silent[lost] = now + SILENCE_SECONDS
             self._reachable = alive
             self._counters.clear()
         if self._silent:
