--- a/hillfield/crashes/runs.py
+++ b/hillfield/crashes/runs.py
@@ -50,8 +50,8 @@
 
     >>> lost = LostRuns()
     >>> target = TargetId('till', 'a:1', 7)
-    >>> lost.record(Run(b'x', target, 10.0, 0.1))
-    >>> lost.record(Run(b'y', target, 14.0, 0.1))
+    >>> lost.add(Run(b'x', target, 10.0, 0.1))
+    >>> lost.add(Run(b'y', target, 14.0, 0.1))
     >>> [run.fingerprint for run in lost.build_exit(14.1, 14100, target).runs]
     [b'y']
     >>> lost.build_exit(15.0, 15000, target) is None
@@ -64,8 +64,8 @@
         self._last_exit = float('-inf')
         self._number = 0
 
-    def record(self, run: Run) -> None:
-        """Record a run that ended without an answer."""
+    def add(self, run: Run) -> None:
+        """Add a run that ended without an answer."""
         if run.fingerprint:
             self._runs.append(run)
 
--- a/hillfield/crashes/tests/fleet.py
+++ b/hillfield/crashes/tests/fleet.py
@@ -166,18 +166,18 @@
         host.incarnation += 1
         for request in running:
             lasted = self.now - request.began
-            host.lost.record(Run(request.name, target, self.now, lasted))
+            host.lost.add(Run(request.name, target, self.now, lasted))
             if request.deadly:
                 self._count(request)
         self.number += 1
         target_exit = host.lost.build_exit(self.now, self.number, target)
         if target_exit is not None:
             self._report_exit(host, target_exit)
-        for request in running:
-            if request.sent < 2:
-                self._send(request)
+        for lost_request in running:
+            if lost_request.sent < 2:
+                self._send(lost_request)
             else:
-                self._fail(request)
+                self._fail(lost_request)
 
     def _count(self, request):
         self.crashes[request.name] += 1
--- a/hillfield/gate/admission.py
+++ b/hillfield/gate/admission.py
@@ -162,7 +162,7 @@
 ) -> tuple[Rank, float]:
     """Return the request's rank, and the seconds that it would wait."""
     plan = record.arrival.plan
-    usage = state.usage.list_usage(now)
+    account_usage = state.usage.list_usage(now)
     duration = state.durations.find(plan).find_quantile(0)
     rank = Rank(
         long=not state.durations.is_quick(plan, state.latency.mean),
@@ -172,10 +172,10 @@
         service_call=is_service_call(plan),
         cost=duration,
     )
-    ahead_in_time = state.queue.count_ahead(rank, usage)
+    ahead_in_time = state.queue.count_ahead(rank, account_usage)
     wait = estimate_wait(state, now, target, ahead_in_time)
     if not plan.aim or plan.spent + wait + duration <= plan.aim:
         return rank, wait
     late_rank = replace(rank, late=True)
-    ahead = state.queue.count_ahead(late_rank, usage)
+    ahead = state.queue.count_ahead(late_rank, account_usage)
     return late_rank, estimate_wait(state, now, target, ahead)
--- a/hillfield/gate/completion.py
+++ b/hillfield/gate/completion.py
@@ -47,7 +47,7 @@
     classified = read_observation(observation)
     written = attempt.phase is not AttemptPhase.CONNECTING
     if written and classified.trigger in WITHOUT_ANSWER:
-        state.lost_runs.record(build_run(now, attempt))
+        state.lost_runs.add(build_run(now, attempt))
     action = attempt.follow(classified.trigger)
     state.table.close(attempt)
     state.health.record_end()
--- a/hillfield/gate/health.py
+++ b/hillfield/gate/health.py
@@ -130,7 +130,7 @@
             self.score = MAXIMUM_SCORE
         return self._update_quarantine(now)
 
-    def retract_age(self, now: float, weight: float) -> bool:
+    def retract(self, now: float, weight: float) -> bool:
         """Subtract the weight of a request's age, since it was answered.
 
         In an overload, requests that wait for their own calls or for a busy
--- a/hillfield/gate/hop.py
+++ b/hillfield/gate/hop.py
@@ -42,7 +42,7 @@
 HEADER_ENCODING: Final = 'latin-1'
 STEP: Final = 'Hillfield-Step'
 EVENT: Final = 'Hillfield-Event'
-TARGET_HELD_BACK: Final = str(int(EventCode.TARGET_HELD_BACK))
+HELD_BACK_EVENT: Final = str(int(EventCode.TARGET_HELD_BACK))
 # Steps of a gate before the first byte goes to its target.
 BEFORE_SENDING: Final = frozenset(
     (Step.READ_REQUEST, Step.ROUTE, Step.ADMIT, Step.CONNECT),
@@ -189,4 +189,4 @@
     It does if it withholds work from its target, or serves another
     incarnation.
     """
-    return step == Step.ROUTE or headers.get(EVENT) == TARGET_HELD_BACK
+    return step == Step.ROUTE or headers.get(EVENT) == HELD_BACK_EVENT
--- a/hillfield/gate/limit.py
+++ b/hillfield/gate/limit.py
@@ -63,7 +63,7 @@
         if _allows_more(rate, self.rate) and began < self._received_at:
             return False
         self._received_at = now
-        return self._adopt(now, rate, tokens=0)
+        return self._adopt(now, rate, initial_tokens=0)
 
     def adopt_forwarded(self, now: float, rate: float) -> bool:
         """Apply a limit that another node received; return if it was adopted.
@@ -73,7 +73,7 @@
         """
         if self._received_at > float('-inf') or _allows_more(rate, self.rate):
             return False
-        return self._adopt(now, max(0, rate), tokens=1)
+        return self._adopt(now, max(0, rate), initial_tokens=1)
 
     def consume(self, now: float) -> None:
         """Consume a token for a request that is sent."""
@@ -114,13 +114,15 @@
         self.sent = 0
         self.declined = 0
 
-    def _adopt(self, now: float, rate: float | None, tokens: int) -> bool:
-        """Set the rate, with `tokens` if there was no limit before."""
+    def _adopt(
+        self, now: float, rate: float | None, initial_tokens: int
+    ) -> bool:
+        """Set the rate, with `initial_tokens` if there was no limit before."""
         if rate == self.rate:
             return False
         if self.rate is None:
             self._reset_counts(now)
-            self._bucket.tokens = tokens
+            self._bucket.tokens = initial_tokens
         self._refill(now)
         self.rate = rate
         self._bucket.bound(max(1, BURST_SECONDS * self._compute_rate()))
--- a/hillfield/gate/occupancy.py
+++ b/hillfield/gate/occupancy.py
@@ -34,7 +34,7 @@
                     'leaving or gone',
                 )
             return
-        state.left = None
+        state.departing = None
         if before is None or before.target.id != serving.target.id:
             if before is not None:
                 self.on_replaced(before.target.id)
@@ -61,5 +61,5 @@
         """Send no new work to the target: it has announced that it leaves."""
         serving = self._state.serving
         if serving is not None:
-            self._state.left = serving
+            self._state.departing = serving
             self.take_seat(None)
--- a/hillfield/gate/order.py
+++ b/hillfield/gate/order.py
@@ -38,14 +38,14 @@
 class QueueOrder(Struct, frozen=True, order=True):
     """Order the waiting requests: the least goes first.
 
-    `level` is the effective priority, `usage` the seconds of slots that the
+    `level` is the effective priority, `used` the seconds of slots that the
     account will have used by then, `number` the position in the order of
     arrival.
     """
 
     late: bool
     level: int
-    usage: float
+    used: float
     long: bool
     expires: float
     number: int
@@ -117,8 +117,8 @@
         for order in orders[:-1]
         if order.level >= newcomer.level
         and _differs(ranks[order.number], order, account, newcomer)
-        and (newcomer.late, newcomer.level, newcomer.usage)
-        < (order.late, order.level, order.usage)
+        and (newcomer.late, newcomer.level, newcomer.used)
+        < (order.late, order.level, order.used)
     )
 
 
--- a/hillfield/gate/reporting.py
+++ b/hillfield/gate/reporting.py
@@ -43,9 +43,9 @@
 
 def _report_leaving(state: GateState, number: int) -> LoadReport | None:
     """Report no capacity for an incarnation that leaves."""
-    if state.left is None:
+    if state.departing is None:
         return None
-    leaving = state.left.target.id
+    leaving = state.departing.target.id
     return LoadReport(
         leaving.service,
         leaving.address.ip,
--- a/hillfield/gate/state.py
+++ b/hillfield/gate/state.py
@@ -28,14 +28,14 @@
 class GateState:
     """Hold what the gate decides with.
 
-    `left` is the incarnation that announced that it leaves, until another one
+    `departing` is the incarnation that announced that it leaves, until another one
     is served; `displaced` are refusals of waiting requests that gave way to
     more urgent ones, until a poll returns them.
     """
 
     journal: Journal
     serving: Seat | None = None
-    left: Seat | None = None
+    departing: Seat | None = None
     health: HealthScore = field(default_factory=HealthScore)
     limit: RateLimit = field(default_factory=RateLimit)
     table: Ledger = field(default_factory=Ledger)
@@ -76,7 +76,7 @@
                 if rate is None
                 else LifeNotice(self.serving.identifier, rate)
             )
-        left = self.left
+        left = self.departing
         return (
             None if left is None else LifeNotice(left.identifier, leaving=True)
         )
@@ -100,7 +100,7 @@
         serving = self.serving
         if serving is None or serving.target.id != attempt.target.id:
             return
-        if self.health.retract_age(now, attempt.weight):
+        if self.health.retract(now, attempt.weight):
             self._record_quarantine(serving, 'slow requests were answered')
 
     def record_answered(self, now: float, attempt: AttemptRecord) -> None:
--- a/hillfield/gate/tests/test_limit.py
+++ b/hillfield/gate/tests/test_limit.py
@@ -202,7 +202,7 @@
         gate.note_notice(0.1, decision.attempt, TargetNotice(2))
         gate.finish(0.1, decision.attempt, Answered(200))
     polled = gate.poll(0.1)
-    assert not any(isinstance(decision, Send) for decision in polled)
+    assert not any(isinstance(later, Send) for later in polled)
 
 
 def test_a_limited_target_reports_no_more_capacity_than_the_limit():
@@ -256,8 +256,8 @@
     report = gate.report(0.1)
     assert report.notice == LifeNotice('i-1', 2.5)
     assert read_capacity(IDENTITY, write_capacity(report)) == report
-    sent = gate.admit(1, arrive('b', 1))
-    gate.note_notice(1.2, sent.attempt, TargetNotice())
+    second = gate.admit(1, arrive('b', 1))
+    gate.note_notice(1.2, second.attempt, TargetNotice())
     assert gate.report(1.2).notice is None
 
 
--- a/hillfield/gate/tests/test_order.py
+++ b/hillfield/gate/tests/test_order.py
@@ -170,7 +170,7 @@
         orders[-1].late,
         orders[-1].level,
     ):
-        assert orders[displaced].usage > orders[-1].usage
+        assert orders[displaced].used > orders[-1].used
         assert ranks[displaced].account != ranks[-1].account
 
 
