--- a/hillfield/gate/occupancy.py
+++ b/hillfield/gate/occupancy.py
@@ -1,57 +1,65 @@
-"""Which life of its target a gate serves."""
+"""The incarnation of its target that a gate serves."""
 
 from hillfield.events import EventCode
-from hillfield.gate.hearing import hear_told
+from hillfield.gate.health import HealthScore
 from hillfield.gate.limit import RateLimit
 from hillfield.gate.notes import GateNotes
-from hillfield.gate.seat import Seat
-from hillfield.gate.standing import Standing
+from hillfield.gate.notices import apply_forwarded_notice
+from hillfield.gate.served import Seat
 from hillfield.model import LifeNotice, TargetState
 from hillfield.routing.loads import Latency
 
 
 class GateSeat(GateNotes):
-    """Take lives of the target; nothing that was learnt of one outlasts it."""
+    """Serve incarnations of the target, each with fresh health and limit."""
 
     @property
     def seat(self) -> Seat | None:
-        """Return the life of the target that is served."""
-        return self._state.seat
+        """Return the served incarnation."""
+        return self._state.serving
 
-    def take_seat(self, seat: Seat | None) -> None:
-        """Take the present life of the target; None: it is gone or leaves."""
+    def take_seat(self, serving: Seat | None) -> None:
+        """Serve an incarnation of the target; None: it has left or leaves."""
         state = self._state
-        if seat is not None and seat.target.state is TargetState.DRAINING:
-            self.leave_seat()
+        if serving is not None and serving.target.state is TargetState.DRAINING:
+            self.stop_serving()
             return
-        before = state.seat
-        state.seat = seat
-        if seat is None:
+        before = state.serving
+        state.serving = serving
+        if serving is None:
             if before is not None:
-                state.record(EventCode.GATE_EMPTY, before, 'leaving or gone')
+                state.record_event(
+                    EventCode.GATE_EMPTY,
+                    before,
+                    'leaving or gone',
+                )
             return
-        state.farewell = None
-        if before is None or before.target.id != seat.target.id:
+        state.departing = None
+        if before is None or before.target.id != serving.target.id:
             if before is not None:
                 self.on_replaced(before.target.id)
-            state.standing = Standing()
+            state.health = HealthScore()
             state.limit = RateLimit()
             state.latency = Latency()
-            state.record(
+            state.record_event(
                 EventCode.GATE_SEATED,
-                seat,
-                f'known as {seat.name}',
+                serving,
+                f'known as {serving.name}',
             )
 
-    def adopt_told(self, now: float, told: LifeNotice) -> None:
-        """Take what the sender of a request was told of the target."""
-        seat = self._state.seat
-        if seat is not None and hear_told(self._state, now, told):
-            self.on_leaving(now, seat.target.id)
+    def adopt_told(self, now: float, notice: LifeNotice) -> None:
+        """Apply the notice that the sender of a request has received."""
+        serving = self._state.serving
+        if serving is not None and apply_forwarded_notice(
+            self._state,
+            now,
+            notice,
+        ):
+            self.on_leaving(now, serving.target.id)
 
-    def leave_seat(self) -> None:
-        """Give the target no new work: it has said that it leaves."""
-        seat = self._state.seat
-        if seat is not None:
-            self._state.farewell = seat
+    def stop_serving(self) -> None:
+        """Send no new work to the target: it has announced that it leaves."""
+        serving = self._state.serving
+        if serving is not None:
+            self._state.departing = serving
             self.take_seat(None)
--- a/hillfield/gate/reporting.py
+++ b/hillfield/gate/reporting.py
@@ -1,27 +1,31 @@
-"""What the gate tells of its target's room."""
+"""Reports of the target's free capacity."""
 
 from typing import Final
 
-from hillfield.gate.room import count_room, count_usable, find_wait
+from hillfield.gate.capacity import (
+    count_free_slots,
+    count_usable_slots,
+    estimate_wait,
+)
 from hillfield.gate.state import GateState
-from hillfield.gate.suspicion import DOUBT_SCORE, weigh_running
+from hillfield.gate.suspicion import SUSPICION_SCORE, score_running
 from hillfield.loadreports.reports import Held, LoadReport
 
-# Digits of the seconds that are told: a millisecond changes no choice.
+# Decimal digits of reported seconds: a millisecond changes no decision.
 WAIT_DIGITS: Final = 3
 
 
-def report_load(
+def build_report(
     state: GateState,
     now: float,
     number: int,
 ) -> LoadReport | None:
-    """Return the report of the target, if there is one."""
+    """Return the report of the target, or None without a target."""
     target = state.target
     if target is None:
-        return _report_left(state, number)
+        return _report_leaving(state, number)
     waiting = len(state.queue)
-    free = 0 if waiting else count_room(state, now, target)
+    free = 0 if waiting else count_free_slots(state, now, target)
     return LoadReport(
         target.id.service,
         target.id.address.ip,
@@ -30,33 +34,33 @@
         number,
         free,
         waiting,
-        _find_held(state, now),
-        0 if free else round(find_wait(state, now, target), WAIT_DIGITS),
-        count_usable(state, target),
-        state.find_notice(),
+        _find_withheld(state, now),
+        0 if free else round(estimate_wait(state, now, target), WAIT_DIGITS),
+        count_usable_slots(state, target),
+        state.build_notice(),
     )
 
 
-def _report_left(state: GateState, number: int) -> LoadReport | None:
-    """Tell that a life that leaves has no room, until another is here."""
-    if state.farewell is None:
+def _report_leaving(state: GateState, number: int) -> LoadReport | None:
+    """Report no capacity for an incarnation that leaves."""
+    if state.departing is None:
         return None
-    left = state.farewell.target.id
+    leaving = state.departing.target.id
     return LoadReport(
-        left.service,
-        left.address.ip,
-        left.address.port,
-        left.incarnation,
+        leaving.service,
+        leaving.address.ip,
+        leaving.address.port,
+        leaving.incarnation,
         number,
         0,
         held=Held.ALL,
-        notice=state.find_notice(),
+        notice=state.build_notice(),
     )
 
 
-def _find_held(state: GateState, now: float) -> Held:
-    if state.standing.shunned:
-        wanted = state.standing.wants_trial(now)
-        return Held.USUAL if wanted else Held.ALL
-    doubted = weigh_running(state, now) > DOUBT_SCORE
-    return Held.ONCE if doubted else Held.NOTHING
+def _find_withheld(state: GateState, now: float) -> Held:
+    if state.health.quarantined:
+        trial_due = state.health.is_trial_due(now)
+        return Held.USUAL if trial_due else Held.ALL
+    suspected = score_running(state, now) > SUSPICION_SCORE
+    return Held.ONCE if suspected else Held.NOTHING
--- a/hillfield/gate/state.py
+++ b/hillfield/gate/state.py
@@ -1,17 +1,17 @@
-"""What the gate keeps of its target and of the requests for it."""
+"""State of a gate: its target, and the requests in flight and waiting."""
 
 from dataclasses import dataclass, field
 from typing import Final
 
 from hillfield.crashes import LostRuns
 from hillfield.events import EventCode, Journal, Occurrence
-from hillfield.gate.ages import AgeTrust
+from hillfield.gate.ages import AgeReliability
 from hillfield.gate.calls import FailedCalls
+from hillfield.gate.health import AttemptResult, HealthScore
 from hillfield.gate.limit import RateLimit
 from hillfield.gate.queue import GateQueue
-from hillfield.gate.seat import Seat
-from hillfield.gate.shares import AccountShares, is_foreign
-from hillfield.gate.standing import Ending, Standing
+from hillfield.gate.served import Seat
+from hillfield.gate.usage import AccountUsage, is_service_call
 from hillfield.model import LifeNotice, Target, TargetState
 from hillfield.routing.durations import Durations
 from hillfield.routing.loads import Latency
@@ -19,92 +19,98 @@
 from hillfield.routing.refusals import Cause, end_refused
 from hillfield.routing.requests import Refuse, Send
 
-# How much longer requests take at a target that is cold (site files). Without
-# it all targets are held back at once after a loss of power.
+# How many times longer requests take at a target that has started a short time
+# ago. Without it, all targets are quarantined at once after a loss of power.
 COLD_FACTOR: Final = 2.0
 
 
 @dataclass(slots=True)
 class GateState:
-    """Hold the parts that the gate decides with.
+    """Hold what the gate decides with.
 
-    `farewell` is the life that has said that it leaves, until another takes
-    the seat; `declined` are verdicts on what made way for others, not yet
-    handed on.
+    `departing` is the incarnation that announced that it leaves, until another one
+    is served; `displaced` are refusals of waiting requests that gave way to
+    more urgent ones, until a poll returns them.
     """
 
     journal: Journal
-    seat: Seat | None = None
-    farewell: Seat | None = None
-    standing: Standing = field(default_factory=Standing)
+    serving: Seat | None = None
+    departing: Seat | None = None
+    health: HealthScore = field(default_factory=HealthScore)
     limit: RateLimit = field(default_factory=RateLimit)
-    ledger: Ledger = field(default_factory=Ledger)
+    table: Ledger = field(default_factory=Ledger)
     queue: GateQueue = field(default_factory=GateQueue)
     latency: Latency = field(default_factory=Latency)
-    calls: FailedCalls = field(default_factory=FailedCalls)
+    failed_calls: FailedCalls = field(default_factory=FailedCalls)
     durations: Durations = field(default_factory=Durations)
-    lost: LostRuns = field(default_factory=LostRuns)
-    ages: AgeTrust = field(default_factory=AgeTrust)
-    shares: AccountShares = field(default_factory=AccountShares)
-    declined: list[Refuse] = field(default_factory=list)
+    lost_runs: LostRuns = field(default_factory=LostRuns)
+    age_reliability: AgeReliability = field(default_factory=AgeReliability)
+    usage: AccountUsage = field(default_factory=AccountUsage)
+    displaced: list[Refuse] = field(default_factory=list)
 
     @property
     def target(self) -> Target | None:
-        """Return the target, if there is one to send to."""
-        return None if self.seat is None else self.seat.target
+        """Return the target to send to, or None."""
+        return None if self.serving is None else self.serving.target
 
     @property
     def in_flight(self) -> int:
-        """Return how many requests are at this life of the target.
+        """Count the requests at the served incarnation.
 
-        Those that an earlier life took have no slot of the present one.
+        Requests at an earlier incarnation hold no slot of the served one.
         """
         target = self.target
         if target is None:
-            return len(self.ledger.attempts)
+            return len(self.table.attempts)
         return sum(
             attempt.target.id == target.id
-            for attempt in self.ledger.attempts.values()
+            for attempt in self.table.attempts.values()
         )
 
-    def find_notice(self) -> LifeNotice | None:
-        """Return what is to be told of what the target says of itself."""
-        if self.seat is not None:
+    def build_notice(self) -> LifeNotice | None:
+        """Return what the target said about itself, for other nodes."""
+        if self.serving is not None:
             rate = self.limit.rate
-            return None if rate is None else LifeNotice(self.seat.life, rate)
-        left = self.farewell
-        return None if left is None else LifeNotice(left.life, leaving=True)
+            return (
+                None
+                if rate is None
+                else LifeNotice(self.serving.identifier, rate)
+            )
+        left = self.departing
+        return (
+            None if left is None else LifeNotice(left.identifier, leaving=True)
+        )
 
-    def judge(
+    def record_result(
         self,
         now: float,
         target: Target,
-        ending: Ending,
+        attempt_result: AttemptResult,
         weight: float | None = None,
     ) -> None:
-        """Count how a request at the target ended."""
-        seat = self.seat
-        if seat is None or seat.target.id != target.id:
+        """Record the result of an attempt at the target."""
+        serving = self.serving
+        if serving is None or serving.target.id != target.id:
             return
-        if self.standing.note(now, ending, weight):
-            self._record_verdict(seat, f'last request {ending}')
+        if self.health.record(now, attempt_result, weight):
+            self._record_quarantine(serving, f'last request {attempt_result}')
 
-    def clear(self, now: float, attempt: AttemptRecord) -> None:
-        """Take back what a request's age has said: it was answered."""
-        seat = self.seat
-        if seat is None or seat.target.id != attempt.target.id:
+    def retract_age(self, now: float, attempt: AttemptRecord) -> None:
+        """Retract the evidence of a request's age, since it was answered."""
+        serving = self.serving
+        if serving is None or serving.target.id != attempt.target.id:
             return
-        if self.standing.take_back(now, attempt.weight):
-            self._record_verdict(seat, 'what took long was answered')
+        if self.health.retract(now, attempt.weight):
+            self._record_quarantine(serving, 'slow requests were answered')
 
-    def note_answered(self, now: float, attempt: AttemptRecord) -> None:
-        """Note how long an answer took."""
+    def record_answered(self, now: float, attempt: AttemptRecord) -> None:
+        """Record the duration of an answered attempt."""
         self.latency.note(now, now - attempt.started)
         duration = self.durations.find(attempt.record.arrival.plan)
-        duration.note(self.find_work(now, attempt))
+        duration.note(self.compute_warm_age(now, attempt))
 
-    def find_work(self, now: float, attempt: AttemptRecord) -> float:
-        """Return the seconds that a request has been at a warm target."""
+    def compute_warm_age(self, now: float, attempt: AttemptRecord) -> float:
+        """Return the age of an attempt, in seconds at a warmed-up target."""
         seconds = attempt.find_age(now)
         target = self.target
         if target is not None and target.state is TargetState.COLD:
@@ -113,28 +119,28 @@
 
     def send(self, now: float, record: RequestRecord, target: Target) -> Send:
         """Start an attempt."""
-        self.standing.begin(now)
-        self.limit.take(now)
+        self.health.record_start(now)
+        self.limit.consume(now)
         plan = record.arrival.plan
-        if not is_foreign(plan):
-            usual = self.durations.find(plan).find_quantile(0)
-            self.shares.charge(now, plan.account, usual)
-        return self.ledger.start(now, record, target)
+        if not is_service_call(plan):
+            expected = self.durations.find(plan).find_quantile(0)
+            self.usage.charge(now, plan.account, expected)
+        return self.table.start(now, record, target)
 
     def refuse(self, record: RequestRecord, cause: Cause) -> Refuse:
-        """End a request; what is told follows from whether it was sent."""
-        failure = end_refused(self.ledger, record, cause)
+        """End a request; the outcome depends on whether it was sent."""
+        failure = end_refused(self.table, record, cause)
         return Refuse(record.arrival.request, failure)
 
-    def take_declined(self) -> tuple[Refuse, ...]:
-        """Hand on the verdicts on what made way for others."""
-        declined = tuple(self.declined)
-        self.declined.clear()
+    def pop_displaced(self) -> tuple[Refuse, ...]:
+        """Return and clear the refusals of displaced requests."""
+        declined = tuple(self.displaced)
+        self.displaced.clear()
         return declined
 
-    def record(self, code: EventCode, seat: Seat, detail: str) -> None:
+    def record_event(self, code: EventCode, serving: Seat, detail: str) -> None:
         """Record an event of the target."""
-        target = seat.target.id
+        target = serving.target.id
         self.journal.record(
             Occurrence(
                 code,
@@ -144,9 +150,9 @@
             ),
         )
 
-    def _record_verdict(self, seat: Seat, reason: str) -> None:
+    def _record_quarantine(self, serving: Seat, reason: str) -> None:
         code = EventCode.GATE_REOPENED
-        if self.standing.shunned:
+        if self.health.quarantined:
             code = EventCode.GATE_SHUNNED
-        score = round(self.standing.score, 1)
-        self.record(code, seat, f'{reason}, score {score}')
+        score = round(self.health.score, 1)
+        self.record_event(code, serving, f'{reason}, score {score}')
--- a/hillfield/loadreports/sealing.py
+++ b/hillfield/loadreports/sealing.py
@@ -1,4 +1,4 @@
-"""Seal what nodes tell each other in datagrams."""
+"""Encode messages between nodes, authenticated by a keyed MAC."""
 
 from hashlib import blake2b
 from hmac import compare_digest
@@ -7,13 +7,13 @@
 from msgspec import MsgspecError
 from msgspec.msgpack import Decoder, Encoder
 
-MAC_LENGTH: Final = 8
-KEY_LIMIT: Final = 64
+MAC_BYTES: Final = 8
+KEY_BYTES: Final = 64
 Message = TypeVar('Message')
 
 
 class SealedCodec(Generic[Message]):
-    """Code messages of one kind, and seal them with the cluster's key.
+    """Encode messages of one type, sealed with the cluster's key.
 
     >>> codec = SealedCodec[int](b'key', int)
     >>> codec.open(codec.seal(7))
@@ -22,11 +22,11 @@
     True
     """
 
-    def __init__(self, key: bytes, kind: Any) -> None:
-        """Derive the key of the MAC; `kind` is the messages' type."""
-        self._key = blake2b(key, digest_size=KEY_LIMIT).digest()
+    def __init__(self, key: bytes, message_type: Any) -> None:
+        """Derive the key of the MAC; `message_type` is the messages' type."""
+        self._key = blake2b(key, digest_size=KEY_BYTES).digest()
         self._encoder = Encoder()
-        self._decoder: Decoder[Message] = Decoder(kind)
+        self._decoder: Decoder[Message] = Decoder(message_type)
 
     def seal(self, message: Message) -> bytes:
         """Return the datagram: a keyed MAC of 8 bytes, then the message."""
@@ -35,7 +35,7 @@
 
     def open(self, datagram: bytes) -> Message | None:
         """Return the message, or None if it isn't of this cluster."""
-        mac, body = datagram[:MAC_LENGTH], datagram[MAC_LENGTH:]
+        mac, body = datagram[:MAC_BYTES], datagram[MAC_BYTES:]
         if not compare_digest(mac, self._sign(body)):
             return None
         try:
@@ -44,4 +44,4 @@
             return None
 
     def _sign(self, body: bytes) -> bytes:
-        return blake2b(body, digest_size=MAC_LENGTH, key=self._key).digest()
+        return blake2b(body, digest_size=MAC_BYTES, key=self._key).digest()
