--- a/hillfield/holding/budgets.py
+++ b/hillfield/holding/budgets.py
@@ -17,9 +17,9 @@
 OWN_BYTES: Final = 80_000_000
 # The kernel may hold as much again for a connection as the process does, and
 # the remainder is shared by requests and answers.
-SHARE_OF_REST: Final = 0.25
+REMAINDER_SHARE: Final = 0.25
 # With less than its own bytes a node still serves a few at a time.
-LEAST_SHARE: Final = 0.05
+MINIMUM_SHARE: Final = 0.05
 # Of the memory that a host gives a process, what the bodies under way to its
 # target may take there: they are held as bytes and again as what is made of
 # them, beside the target itself.
@@ -89,6 +89,6 @@
     """
     if memory is None:
         return ByteLimits()
-    rest = (memory - OWN_BYTES) * SHARE_OF_REST
-    share = int(max(rest, memory * LEAST_SHARE))
+    rest = (memory - OWN_BYTES) * REMAINDER_SHARE
+    share = int(max(rest, memory * MINIMUM_SHARE))
     return ByteLimits(share, share, int(memory * TARGET_SHARE))
--- a/hillfield/routing/admission.py
+++ b/hillfield/routing/admission.py
@@ -7,14 +7,14 @@
 
 from hillfield.events import EventCode
 from hillfield.model import Step
-from hillfield.routing.patience import (
+from hillfield.routing.waiting import (
     count_ahead,
-    find_turn,
-    goes_at_once,
+    compute_queue_order,
+    precedes_waiting,
     is_stale,
 )
 from hillfield.routing.phases import RequestTrigger
-from hillfield.routing.placing import place, place_waiting
+from hillfield.routing.placement import select_target, select_waiting_target
 from hillfield.routing.queues import is_late
 from hillfield.routing.records import RequestRecord
 from hillfield.routing.refusals import (
@@ -24,79 +24,79 @@
     refuse,
 )
 from hillfield.routing.requests import Arrival, Refuse, Verdict, Wait
-from hillfield.routing.scarcity import find_scarcity
-from hillfield.routing.service import Service
+from hillfield.routing.ratelimits import find_rate_limit_cause
+from hillfield.routing.service import ServiceState
 
 SCAN_INTERVAL: Final = 0.01
-WITHOUT_TARGET: Final = Cause(
+NO_TARGET: Final = Cause(
     EventCode.SERVICE_WITHOUT_TARGET,
     Step.ROUTE,
     'no target of the service is known here',
 )
 
 
-def admit(service: Service, now: float, arrival: Arrival) -> Verdict:
+def admit(service: ServiceState, now: float, arrival: Arrival) -> Verdict:
     """Send a new request, queue it or refuse it."""
     service.counters.admitted += 1
-    record = service.ledger.open(arrival)
-    record.began = now
-    cause = _find_cause(service, now, record)
+    record = service.table.open(arrival)
+    record.started = now
+    cause = _find_refusal_cause(service, now, record)
     if cause is not None:
         return refuse(service, record, cause)
     target = None
-    record.turn = find_turn(service, record)
-    if goes_at_once(service, record.turn):
-        target = place(service, now, record)
+    record.queue_order = compute_queue_order(service, record)
+    if precedes_waiting(service, record.queue_order):
+        target = select_target(service, now, record)
     if target is None:
         return _enqueue(service, now, record)
     return service.send(now, record, target)
 
 
-def serve_queue(service: Service, now: float) -> tuple[Verdict, ...]:
+def serve_queue(service: ServiceState, now: float) -> tuple[Verdict, ...]:
     """Send what has found a slot; refuse what has waited in vain."""
     if not len(service.queue):
         return ()
-    if not service.may_find_target(now):
+    if not service.expects_target(now):
         return tuple(
-            refuse(service, record, WITHOUT_TARGET)
-            for record in service.queue.take_all_that(_is_any)
+            refuse(service, record, NO_TARGET)
+            for record in service.queue.remove_matching(_is_any)
         )
     return _serve_queue(service, now)
 
 
-def _serve_queue(service: Service, now: float) -> tuple[Verdict, ...]:
-    verdicts: list[Verdict] = []
-    if now - service.scanned >= SCAN_INTERVAL:
-        service.scanned = now
-        verdicts.extend(
-            _give_up(service, now, record)
-            for record in service.queue.take_all_that(
-                partial(_is_in_vain, service, now),
+def _serve_queue(service: ServiceState, now: float) -> tuple[Verdict, ...]:
+    decisions: list[Verdict] = []
+    if now - service.scanned_at >= SCAN_INTERVAL:
+        service.scanned_at = now
+        decisions.extend(
+            _refuse_hopeless(service, now, record)
+            for record in service.queue.remove_matching(
+                partial(_is_hopeless, service, now),
             )
         )
     while len(service.queue):
-        target = place_waiting(service, now, service.queue.peek())
+        target = select_waiting_target(service, now, service.queue.peek())
         if target is None:
             break
         record = service.queue.pop()
         if _is_late(service, now, record):
-            verdicts.append(_refuse_late(service, now, record))
+            decisions.append(_refuse_late(service, now, record))
             continue
-        verdicts.append(service.send(now, record, target))
-    return tuple(verdicts)
+        decisions.append(service.send(now, record, target))
+    return tuple(decisions)
 
 
-def _find_cause(
-    service: Service,
+def _find_refusal_cause(
+    service: ServiceState,
     now: float,
     record: RequestRecord,
 ) -> Cause | None:
     arrival = record.arrival
     if arrival.expires <= now:
         return describe_expiry()
-    if not service.may_find_target(now):
-        return WITHOUT_TARGET
-    delay = service.limiter.delay(
+    if not service.expects_target(now):
+        return NO_TARGET
+    delay = service.limiter.consume_or_delay(
         now,
         arrival.plan.account,
         service.policy.account_rate,
@@ -109,21 +109,25 @@
             delay,
             TOO_MANY,
         )
-    return find_scarcity(service, now, record)
+    return find_rate_limit_cause(service, now, record)
 
 
-def _enqueue(service: Service, now: float, record: RequestRecord) -> Verdict:
+def _enqueue(
+    service: ServiceState, now: float, record: RequestRecord
+) -> Verdict:
     queue = service.queue
-    own = queue.waiting(record.arrival.plan.account) + 1
+    own = queue.count_waiting(record.arrival.plan.account) + 1
     # In turns, at most `own` requests of each account go before this one.
-    turns = own * (queue.accounts() + 1)
+    fair_position = own * (queue.count_accounts() + 1)
     position = 1
-    if record.turn.long:
-        position = min(count_ahead(service, record.turn) + 1, turns)
-    wait = service.expect_wait(now, position)
+    if record.queue_order.long:
+        position = min(
+            count_ahead(service, record.queue_order) + 1, fair_position
+        )
+    wait = service.estimate_wait(now, position)
     if _is_late(service, now + wait, record):
         return _refuse_late(service, now, record)
-    cause = _find_excess(service, own, wait)
+    cause = _find_queue_limit_cause(service, own, wait)
     if cause is not None:
         return refuse(service, record, cause)
     record.follow(RequestTrigger.QUEUE)
@@ -136,34 +140,38 @@
     return True
 
 
-def _is_in_vain(
-    service: Service,
+def _is_hopeless(
+    service: ServiceState,
     now: float,
     record: RequestRecord,
 ) -> bool:
-    if find_scarcity(service, now, record) is not None:
+    if find_rate_limit_cause(service, now, record) is not None:
         return True
     late = _is_late(service, now, record)
     return late or is_stale(service, now, record)
 
 
-def _give_up(
-    service: Service,
+def _refuse_hopeless(
+    service: ServiceState,
     now: float,
     record: RequestRecord,
 ) -> Refuse:
-    cause = find_scarcity(service, now, record)
+    cause = find_rate_limit_cause(service, now, record)
     if cause is None:
-        wait = service.expect_wait(now, service.waiting() + 1)
+        wait = service.estimate_wait(now, service.count_waiting() + 1)
         cause = replace(describe_expiry(), retry_after=wait)
     return refuse(service, record, cause)
 
 
-def _is_late(service: Service, start: float, record: RequestRecord) -> bool:
-    return is_late(start, service.find_usual(record), record)
+def _is_late(
+    service: ServiceState, start: float, record: RequestRecord
+) -> bool:
+    return is_late(start, service.estimate_duration(record), record)
 
 
-def _find_excess(service: Service, own: int, wait: float) -> Cause | None:
+def _find_queue_limit_cause(
+    service: ServiceState, own: int, wait: float
+) -> Cause | None:
     """Return why the account's `own`th request may not wait."""
     limit = service.policy.queue_limit
     share = max(1, service.policy.account_share * limit)
@@ -178,16 +186,16 @@
     if len(service.queue) < limit:
         return None
     full = Cause(EventCode.QUEUE_FULL, Step.ADMIT, 'too many wait', wait)
-    if service.queue.longest() <= own:
+    if service.queue.longest_length() <= own:
         return full
     # Room is made at the cost of the account with the most waiting.
-    victim = service.queue.evict()
-    service.pending.append(refuse(service, victim, full))
+    evicted = service.queue.evict()
+    service.pending_refusals.append(refuse(service, evicted, full))
     return None
 
 
 def _refuse_late(
-    service: Service,
+    service: ServiceState,
     now: float,
     record: RequestRecord,
 ) -> Refuse:
@@ -195,6 +203,6 @@
         EventCode.WAIT_TOO_LONG,
         Step.ADMIT,
         'it would have waited past its deadline',
-        service.expect_wait(now, service.waiting() + 1),
+        service.estimate_wait(now, service.count_waiting() + 1),
     )
     return refuse(service, record, cause)
--- a/hillfield/routing/baseline.py
+++ b/hillfield/routing/baseline.py
@@ -39,7 +39,7 @@
 
     def admit(self, now: float, arrival: Arrival) -> Verdict:
         """Send a new request to the target whose turn it is."""
-        return self._send(now, self._service.ledger.open(arrival))
+        return self._send(now, self._service.table.open(arrival))
 
     def finish(
         self,
@@ -48,22 +48,22 @@
         observation: Observation,
     ) -> Verdict:
         """End an attempt; repeat an idempotent request once."""
-        found = self._service.ledger.find(attempt)
+        found = self._service.table.find(attempt)
         if found is None:
             return Done('')
         record = found.record
-        reading = read_observation(observation)
-        action = found.follow(reading.trigger)
-        self._service.ledger.close(found)
+        classification = read_observation(observation)
+        action = found.follow(classification.trigger)
+        self._service.table.close(found)
         self.board.observe(now, found.target.id, attempt, observation)
         if action is AttemptAction.DOUBT:
             record.follow(RequestTrigger.DOUBT)
         elif action is not AttemptAction.NOT_RUN:
-            self._service.ledger.end(record, RequestTrigger.SETTLE)
+            self._service.table.end(record, RequestTrigger.SETTLE)
             return Done(record.arrival.request)
         if _may_repeat(now, record):
             return self._send(now, record)
-        return refuse(self._service, record, describe_reading(reading))
+        return refuse(self._service, record, describe_reading(classification))
 
     def find_hedge_delay(self, plan: RequestPlan) -> None:
         """Name no delay: nothing is sent twice at once."""
@@ -94,9 +94,9 @@
                 'no target of the service is known here',
             )
             return refuse(self._service, record, cause)
-        ledger = self._service.ledger
-        candidate = candidates[ledger.sends % len(candidates)]
-        return ledger.start(now, record, candidate.target)
+        table = self._service.table
+        candidate = candidates[table.sends % len(candidates)]
+        return table.start(now, record, candidate.target)
 
 
 def _may_repeat(now: float, record: RequestRecord) -> bool:
--- a/hillfield/routing/bench.py
+++ b/hillfield/routing/bench.py
@@ -227,21 +227,21 @@
         name = str(self.tally.arrived)
         return Arrival(name, plan, now + setting.deadline, replayable=True)
 
-    def _take(self, now: float, node: int, verdict: Verdict) -> None:
-        if isinstance(verdict, Refuse):
+    def _take(self, now: float, node: int, decision: Verdict) -> None:
+        if isinstance(decision, Refuse):
             self.tally.refused += 1
-            self.tally.unknown += verdict.failure.outcome == 'unknown'
-        if not isinstance(verdict, Send):
+            self.tally.unknown += decision.failure.outcome == 'unknown'
+        if not isinstance(decision, Send):
             return
         self.tally.sent += 1
         counts = self.tally.by_target
-        counts[verdict.target] = counts.get(verdict.target, 0) + 1
-        self._live[node, verdict.attempt] = verdict
-        self._nodes[node].note_written(now, verdict.attempt)
-        arrival = self._arrivals[verdict.request]
-        ending = (node, verdict.attempt, TimedOut())
+        counts[decision.target] = counts.get(decision.target, 0) + 1
+        self._live[node, decision.attempt] = decision
+        self._nodes[node].note_written(now, decision.attempt)
+        arrival = self._arrivals[decision.request]
+        ending = (node, decision.attempt, TimedOut())
         self._at(arrival.expires, self._end, ending)
-        self._serve(now, node, verdict)
+        self._serve(now, node, decision)
 
     def _serve(self, now: float, node: int, send: Send) -> None:
         fake = self._targets[send.target]
@@ -302,16 +302,16 @@
         self._poll(now, node)
 
     def _poll(self, now: float, node: int) -> None:
-        for verdict in self._nodes[node].poll(now):
-            self._take(now, node, verdict)
+        for decision in self._nodes[node].poll(now):
+            self._take(now, node, decision)
 
-    def _tick(self, now: float, turn: int) -> None:
+    def _tick(self, now: float, number: int) -> None:
         for node, dispatcher in enumerate(self._nodes):
             self._poll(now, node)
-            if turn % TICKS == 0:
+            if number % TICKS == 0:
                 dispatcher.tick(now)
         if now < self._setting.seconds + self._setting.deadline:
-            self._at(now + POLL_SECONDS, self._tick, (turn + 1,))
+            self._at(now + POLL_SECONDS, self._tick, (number + 1,))
 
 
 def _open_node(
--- a/hillfield/routing/budgets.py
+++ b/hillfield/routing/budgets.py
@@ -8,7 +8,7 @@
 
 HEDGE_BURST: Final = 2.0
 # Seconds for which time itself adds to a budget between two calls.
-LONGEST_PASSED: Final = 10.0
+LONGEST_INTERVAL: Final = 10.0
 UNSENT_COST: Final = 0.1
 UNSENT_BURST: Final = 50.0
 ACCOUNT_BURST: Final = 3.0
@@ -67,54 +67,58 @@
     ...     bucket.earn(step / 10, 1)
     >>> bucket.tokens > 5
     True
-    >>> bucket.fade(60)
+    >>> bucket.decay(60)
     >>> bucket.tokens
     2
     """
 
-    __slots__ = ('_earned', '_least', '_saved', '_seen')
+    __slots__ = ('_earned', '_minimum', '_saving_seconds', '_updated')
 
     def __init__(self, least: float, saved: float) -> None:
         """Start full, and with nothing earned."""
         super().__init__(least, least)
-        self._least = least
-        self._saved = saved
+        self._minimum = least
+        self._saving_seconds = saved
         self._earned = float()
-        self._seen = float()
+        self._updated = float()
 
     def copy(self, least: float) -> 'EarnedBucket':
         """Return a full one that has earned as much."""
-        made = EarnedBucket(least, self._saved)
-        made._earned = self._earned
-        made._seen = self._seen
-        made._settle()
-        made.tokens = made.burst
-        return made
-
-    def adopt(self, least: float, saved: float) -> None:
+        copied = EarnedBucket(least, self._saving_seconds)
+        copied._earned = self._earned
+        copied._updated = self._updated
+        copied._update_burst()
+        copied.tokens = copied.burst
+        return copied
+
+    def set_bounds(self, least: float, saved: float) -> None:
         """Take new bounds into force."""
-        self._least = least
-        self._saved = saved
-        self._settle()
+        self._minimum = least
+        self._saving_seconds = saved
+        self._update_burst()
 
     def earn(self, now: float, tokens: float) -> None:
         """Add what an answered request allows."""
-        self.fade(now)
+        self.decay(now)
         self._earned += tokens
-        self._settle()
+        self._update_burst()
         self.deposit(tokens)
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Let the bound follow what has come in until now."""
-        passed = max(0, now - self._seen)
-        self._seen = max(now, self._seen)
+        elapsed = max(0, now - self._updated)
+        self._updated = max(now, self._updated)
         if self._earned:
-            kept = exp(-passed / self._saved) if self._saved else 0
+            kept = (
+                exp(-elapsed / self._saving_seconds)
+                if self._saving_seconds
+                else 0
+            )
             self._earned *= kept
-            self._settle()
+            self._update_burst()
 
-    def _settle(self) -> None:
-        self.bound(max(self._least, self._saved and self._earned))
+    def _update_burst(self) -> None:
+        self.bound(max(self._minimum, self._saving_seconds and self._earned))
 
 
 class RetryBudget:
@@ -136,50 +140,50 @@
         self.unsent = Bucket(UNSENT_BURST, UNSENT_BURST)
         self._own_hedges = Bucket(HEDGE_BURST, 0)
         self.hedges = self._choose_hedges(policy)
-        self._passed: float = 0
+        self._now: float = 0
         self._accounts: OrderedDict[str, EarnedBucket] = OrderedDict()
 
-    def note_answered(self, policy: ServicePolicy, account: str) -> None:
+    def record_answered(self, policy: ServicePolicy, account: str) -> None:
         """Deposit what one answered request allows."""
-        self.retries.earn(self._passed, policy.retry_budget)
+        self.retries.earn(self._now, policy.retry_budget)
         self.sheds.deposit(policy.retry_budget / policy.shed_cost)
         self.unsent.deposit(policy.retry_budget / UNSENT_COST)
         self.hedges.deposit(policy.hedge_budget or 0)
         bucket = self._accounts.get(account)
         if bucket is not None:
-            bucket.earn(self._passed, policy.retry_budget)
+            bucket.earn(self._now, policy.retry_budget)
 
-    def pass_time(self, now: float, policy: ServicePolicy) -> None:
+    def advance(self, now: float, policy: ServicePolicy) -> None:
         """Deposit what the seconds since the last call allow."""
-        seconds = min(LONGEST_PASSED, now - self._passed)
-        self._passed = now
-        self.retries.fade(now)
+        seconds = min(LONGEST_INTERVAL, now - self._now)
+        self._now = now
+        self.retries.decay(now)
         self.retries.deposit(policy.retry_rate * seconds)
 
     def adopt(self, policy: ServicePolicy) -> None:
         """Take new bounds into force; what is saved up stays within them."""
         self._shed_cost = policy.shed_cost
         self.hedges = self._choose_hedges(policy)
-        self.retries.adopt(policy.retry_burst, policy.retry_saving)
+        self.retries.set_bounds(policy.retry_burst, policy.retry_saving)
         self.sheds.bound(policy.shed_burst)
 
-    def take_retry(self, account: str, shed: bool) -> bool:
+    def consume_retry(self, account: str, shed: bool) -> bool:
         """Take a retry from the service's and the account's budget."""
         cost = self._shed_cost if shed else 1
         # Where a shed answer costs as much as a run, both share one bound.
-        whole = self.sheds if cost < 1 else self.retries
-        bucket = self._bucket(account)
-        bucket.fade(self._passed)
-        if not (whole.can_take() and bucket.can_take(cost)):
+        service_bucket = self.sheds if cost < 1 else self.retries
+        bucket = self._account_bucket(account)
+        bucket.decay(self._now)
+        if not (service_bucket.can_take() and bucket.can_take(cost)):
             return False
-        whole.take()
+        service_bucket.take()
         return bucket.take(cost)
 
-    def take_unsent(self) -> bool:
+    def consume_unsent(self) -> bool:
         """Take another try of a request that could not be sent."""
         return self.unsent.take()
 
-    def take_hedge(self) -> bool:
+    def consume_hedge(self) -> bool:
         """Take a hedge from the service's budget."""
         return self.hedges.take()
 
@@ -187,7 +191,7 @@
         shared = policy.hedge_budget is None
         return self.retries if shared else self._own_hedges
 
-    def _bucket(self, account: str) -> EarnedBucket:
+    def _account_bucket(self, account: str) -> EarnedBucket:
         bucket = self._accounts.get(account)
         if bucket is None:
             # Until its own answers tell, it may be all of the traffic.
@@ -206,7 +210,9 @@
         """Start without accounts."""
         self._buckets: OrderedDict[str, tuple[Bucket, float]] = OrderedDict()
 
-    def delay(self, now: float, account: str, rate: float | None) -> float:
+    def consume_or_delay(
+        self, now: float, account: str, rate: float | None
+    ) -> float:
         """Return 0 and count the request, or the seconds to wait."""
         if rate is None or rate <= 0:
             return 0
--- a/hillfield/routing/rooms.py
+++ b/hillfield/routing/capacity.py
@@ -7,14 +7,14 @@
 from hillfield.model import RequestPlan, TargetId
 
 # Seconds for which a report is believed: it is told anew each 10 s at most.
-BELIEVED: Final = 12.0
+REPORT_LIFETIME: Final = 12.0
 
 
 @dataclass(slots=True)
-class Room:
+class ReportedCapacity:
     """Hold the newest report of one target; `free` less what went there.
 
-    `sent` counts what this node has sent there since and not seen end, `wait`
+    `outstanding` counts what this node has sent there since and not seen end, `wait`
     is the seconds until one more usual request would begin there, `usable` the
     slots that do useful work (0: not told), `rate` the requests a second that
     the target takes (None: it names no limit).
@@ -23,37 +23,37 @@
     number: int
     free: int
     waiting: int
-    held: Held
-    told: float
+    withheld: Held
+    received_at: float
     wait: float = 0
     usable: int = 0
     rate: float | None = None
-    sent: int = 0
+    outstanding: int = 0
 
 
-class Rooms:
+class CapacityTable:
     """Remember reports, and what this node has sent since.
 
-    >>> rooms = Rooms()
+    >>> table = CapacityTable()
     >>> report = LoadReport('fees', '10.0.0.1', 80, 7, 1, 1)
-    >>> rooms.note(0, report)
-    >>> rooms.list_full(0)
+    >>> table.record_report(0, report)
+    >>> table.list_full(0)
     ()
-    >>> rooms.take(report.target)
-    >>> rooms.list_full(0) == (report.target,)
+    >>> table.record_sent(report.target)
+    >>> table.list_full(0) == (report.target,)
     True
     """
 
     def __init__(self) -> None:
         """Start without any."""
-        self._rooms: dict[TargetId, Room] = {}
+        self._capacities: dict[TargetId, ReportedCapacity] = {}
 
-    def note(self, now: float, report: LoadReport) -> None:
+    def record_report(self, now: float, report: LoadReport) -> None:
         """Take a report, unless a newer one has come already."""
-        known = self._rooms.get(report.target)
+        known = self._capacities.get(report.target)
         if known is not None and report.number < known.number:
             return
-        self._rooms[report.target] = Room(
+        self._capacities[report.target] = ReportedCapacity(
             report.number,
             report.free,
             report.waiting,
@@ -64,65 +64,67 @@
             None if report.notice is None else report.notice.rate,
         )
 
-    def take(self, target: TargetId) -> None:
+    def record_sent(self, target: TargetId) -> None:
         """Count a request that this node sends there."""
-        room = self._rooms.get(target)
-        if room is None:
+        capacity = self._capacities.get(target)
+        if capacity is None:
             return
-        room.sent += 1
-        if room.free > 0:
-            room.free -= 1
+        capacity.outstanding += 1
+        if capacity.free > 0:
+            capacity.free -= 1
         else:
-            room.waiting += 1
+            capacity.waiting += 1
 
-    def give_back(self, target: TargetId) -> None:
+    def record_ended(self, target: TargetId) -> None:
         """Count the end of a request that this node has sent there.
 
         Reports are rarer than requests where many nodes listen: without it a
         target counts as full after as many requests as it has slots. Where the
         target names a limit, an end brings no turn back.
         """
-        room = self._rooms.get(target)
-        if room is None or not room.sent:
+        capacity = self._capacities.get(target)
+        if capacity is None or not capacity.outstanding:
             return
-        room.sent -= 1
-        if room.rate is not None:
+        capacity.outstanding -= 1
+        if capacity.rate is not None:
             return
-        if room.waiting > 0:
-            room.waiting -= 1
+        if capacity.waiting > 0:
+            capacity.waiting -= 1
         else:
-            room.free += 1
+            capacity.free += 1
 
-    def are_known(self, now: float) -> bool:
+    def has_reports(self, now: float) -> bool:
         """Tell whether any gate tells of its room."""
-        self._forget(now)
-        return bool(self._rooms)
+        self._drop_expired(now)
+        return bool(self._capacities)
 
-    def find(self, target: TargetId) -> Room | None:
+    def find(self, target: TargetId) -> ReportedCapacity | None:
         """Return what is known of a target's room."""
-        return self._rooms.get(target)
+        return self._capacities.get(target)
 
     def list_full(self, now: float) -> tuple[TargetId, ...]:
         """Return the targets that have no free slot."""
-        self._forget(now)
+        self._drop_expired(now)
         return tuple(
-            target for target, room in self._rooms.items() if room.free <= 0
+            target
+            for target, capacity in self._capacities.items()
+            if capacity.free <= 0
         )
 
-    def list_shunned(self, now: float) -> tuple[TargetId, ...]:
+    def list_quarantined(self, now: float) -> tuple[TargetId, ...]:
         """Return the targets whose gates hold back all usual work."""
-        return self._list_from(now, Held.USUAL)
+        return self._list_at_least(now, Held.USUAL)
 
-    def list_wanting(self, now: float) -> frozenset[TargetId]:
+    def list_awaiting_trial(self, now: float) -> frozenset[TargetId]:
         """Return the targets whose gates ask for a trial."""
-        self._forget(now)
+        self._drop_expired(now)
         return frozenset(
             target
-            for target, room in self._rooms.items()
-            if room.held is Held.USUAL
+            for target, capacity in self._capacities.items()
+            if capacity.withheld is Held.USUAL
         )
 
-    def list_held(
+    def list_withholding(
         self,
         now: float,
         plan: RequestPlan,
@@ -133,19 +135,21 @@
         `trial` says that the request may try a doubtful target.
         """
         least = Held.USUAL if plan.idempotent else Held.ONCE
-        return self._list_from(now, Held.ALL if trial else least)
+        return self._list_at_least(now, Held.ALL if trial else least)
 
-    def _list_from(self, now: float, least: Held) -> tuple[TargetId, ...]:
-        self._forget(now)
+    def _list_at_least(self, now: float, least: Held) -> tuple[TargetId, ...]:
+        self._drop_expired(now)
         return tuple(
-            target for target, room in self._rooms.items() if room.held >= least
+            target
+            for target, capacity in self._capacities.items()
+            if capacity.withheld >= least
         )
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         over = [
             target
-            for target, room in self._rooms.items()
-            if now - room.told > BELIEVED
+            for target, capacity in self._capacities.items()
+            if now - capacity.received_at > REPORT_LIFETIME
         ]
         for target in over:
-            self._rooms.pop(target)
+            self._capacities.pop(target)
--- a/hillfield/routing/pace.py
+++ b/hillfield/routing/departures.py
@@ -4,24 +4,24 @@
 from typing import Final
 
 # Seconds after which departures say nothing of the present.
-PACE_MEMORY: Final = 5.0
+INTERVAL_LIFETIME: Final = 5.0
 # Departures that are remembered: a longer line than the usual queue.
 DEPARTURES_KEPT: Final = 128
 # The fewest by which a line is judged: slots are given back in groups, so that
 # a few departures may lie close together, or a pause may lie between them.
-DEPARTURES_JUDGED: Final = 8
+MINIMUM_DEPARTURES: Final = 8
 
 
-class Pace:
+class DepartureIntervals:
     """Measure how long departures take while requests wait.
 
     A line is judged by as many departures as it needs: one pause of the
     targets, or of this node, then counts for what it is.
 
-    >>> pace = Pace()
+    >>> intervals = DepartureIntervals()
     >>> for number in range(40):
-    ...     pace.note_departure(number / 100, waiting=True)
-    >>> round(pace.expect_wait(0.4, 30, 0.05), 3)
+    ...     intervals.record_departure(number / 100, waiting=True)
+    >>> round(intervals.estimate_wait(0.4, 30, 0.05), 3)
     0.3
     """
 
@@ -31,7 +31,7 @@
         self._last: float | None = None
         self._updated = float('-inf')
 
-    def note_departure(self, now: float, waiting: bool) -> None:
+    def record_departure(self, now: float, waiting: bool) -> None:
         """Take the end of an attempt that held a slot."""
         if not waiting:
             self._last = None
@@ -41,7 +41,7 @@
             self._updated = now
         self._last = now
 
-    def expect_wait(
+    def estimate_wait(
         self,
         now: float,
         position: int,
@@ -52,13 +52,13 @@
         `service_time` is latency per slot; it stands in for the measurement
         when that is old, or too short to judge by.
         """
-        if now - self._updated >= PACE_MEMORY:
+        if now - self._updated >= INTERVAL_LIFETIME:
             self._intervals.clear()
-        if len(self._intervals) < DEPARTURES_JUDGED:
+        if len(self._intervals) < MINIMUM_DEPARTURES:
             return position * service_time
-        return position * self._find_interval(position)
+        return position * self._average_interval(position)
 
-    def _find_interval(self, position: int) -> float:
-        judged = max(position, DEPARTURES_JUDGED)
+    def _average_interval(self, position: int) -> float:
+        judged = max(position, MINIMUM_DEPARTURES)
         latest = tuple(self._intervals)[-judged:]
         return sum(latest) / len(latest)
--- a/hillfield/routing/dispatcher.py
+++ b/hillfield/routing/dispatcher.py
@@ -8,7 +8,7 @@
 from hillfield.model import Locality, ServicePolicy, Target
 from hillfield.routing.admission import admit, serve_queue
 from hillfield.routing.explanations import RoutingExplanation, explain_service
-from hillfield.routing.hedging import Hedges
+from hillfield.routing.hedging import Hedging
 from hillfield.routing.recovery import finish, serve_retries
 from hillfield.routing.requests import (
     Arrival,
@@ -17,11 +17,11 @@
     Verdict,
 )
 from hillfield.routing.service import open_service
-from hillfield.routing.telling import tell_room
-from hillfield.routing.subsets import allow_connections, choose_subset
+from hillfield.routing.feedback import apply_report
+from hillfield.routing.subsets import compute_connection_share, choose_subset
 
 
-class Dispatcher(Hedges):
+class Dispatcher(Hedging):
     """Decide admission, target, retries, hedges and what callers are told."""
 
     def __init__(
@@ -35,7 +35,7 @@
         super().__init__(open_service(policy, locality, board, random))
         self._locality = locality
         self._overloaded = False
-        self._starved = False
+        self._retries_exhausted = False
 
     def adopt_policy(self, now: float, policy: ServicePolicy) -> None:
         """Take a new policy into force for all that is decided from now."""
@@ -57,7 +57,7 @@
         self.board.adopt_targets(now, subset)
         self._service.selector.adopt_allowances(
             {
-                target.id: allow_connections(
+                target.id: compute_connection_share(
                     target,
                     nodes,
                     len(subset),
@@ -83,23 +83,23 @@
         by the end of a hedge that still lives. An attempt that has ended
         already gives `Done` without a request and changes nothing.
         """
-        found = self._service.ledger.find(attempt)
+        found = self._service.table.find(attempt)
         if found is None:
             return Done('')
         return finish(self._service, now, found, observation)
 
     def leave(self, now: float, request: str) -> None:
         """Forget a request whose caller went away."""
-        self._service.forget(request)
+        self._service.cancel(request)
 
     def poll(self, now: float) -> tuple[Verdict, ...]:
         """Return verdicts for queued requests; call after finish, in ticks."""
         service = self._service
-        if not (service.waiting() or service.pending):
+        if not (service.count_waiting() or service.pending_refusals):
             return ()
         service.selector.pauses.end(now)
-        pending = tuple(service.pending)
-        service.pending.clear()
+        pending = tuple(service.pending_refusals)
+        service.pending_refusals.clear()
         retried = serve_retries(service, now)
         return (*pending, *retried, *serve_queue(service, now))
 
@@ -109,25 +109,25 @@
         That is the end of a pause; other waits end by `finish` or are given
         up in ticks.
         """
-        if not self._service.waiting():
+        if not self._service.count_waiting():
             return None
         return self._service.selector.pauses.next_end()
 
     def is_idle(self) -> bool:
         """Tell whether no request waits or is at a target."""
-        ledger = self._service.ledger
-        return not (ledger.requests or ledger.attempts)
+        table = self._service.table
+        return not (table.requests or table.attempts)
 
     def adopt_report(self, now: float, report: LoadReport) -> None:
         """Take what the gate of a target tells of its room."""
-        tell_room(self._service, now, report)
+        apply_report(self._service, now, report)
 
     def tick(self, now: float) -> tuple[Occurrence, ...]:
         """Return what has changed since the last tick; call each 0.1 s."""
         occurrences = list(self.board.tick(now))
-        self._service.budget.pass_time(now, self._service.policy)
+        self._service.budget.advance(now, self._service.policy)
         name = self._service.policy.service
-        overloaded = self._service.waiting() > 0
+        overloaded = self._service.count_waiting() > 0
         if overloaded is not self._overloaded:
             self._overloaded = overloaded
             code = EventCode.OVERLOAD_ENDED
@@ -135,10 +135,10 @@
                 code = EventCode.OVERLOAD_STARTED
             occurrences.append(Occurrence(code, service=name))
         starved = not self._service.budget.retries.can_take()
-        if starved and not self._starved:
+        if starved and not self._retries_exhausted:
             code = EventCode.RETRY_BUDGET_EMPTY
             occurrences.append(Occurrence(code, service=name))
-        self._starved = starved
+        self._retries_exhausted = starved
         return tuple(occurrences)
 
     def explain(self, now: float) -> RoutingExplanation:
--- a/hillfield/routing/durations.py
+++ b/hillfield/routing/durations.py
@@ -17,16 +17,16 @@
 # spread (standard deviation of the logarithm), and how many answers that
 # counts for. Routes of the users' deployments take 0.2 to 0.5 of that time
 # and spread by 0.3 to 0.8 (their site files).
-USUAL_PART: Final = 0.33
-USUAL_SPREAD: Final = 0.7
-ASSUMED: Final = 2
+ASSUMED_AIM_SHARE: Final = 0.33
+ASSUMED_SPREAD: Final = 0.7
+ASSUMED_COUNT: Final = 2
 # Seconds in which an answer is worth most where nobody says so.
-USUAL_AIM: Final = 1.0
+ASSUMED_AIM: Final = 1.0
 # Answers remembered: a change in length is learnt within about so many.
-REMEMBERED: Final = 30
+MAXIMUM_COUNT: Final = 30
 LEAST_SPREAD: Final = 0.3
 # Part of the mean of a target's requests up to which one counts as quick.
-QUICK_PART: Final = 0.75
+QUICK_SHARE: Final = 0.75
 LEAST_SECONDS: Final = 0.001
 
 
@@ -43,11 +43,11 @@
 
     middle: float
     variance: float
-    count: int = ASSUMED
+    count: int = ASSUMED_COUNT
 
     def note(self, seconds: float) -> None:
         """Take how long a request took."""
-        self.count = min(REMEMBERED, self.count + 1)
+        self.count = min(MAXIMUM_COUNT, self.count + 1)
         gain = 1 / self.count
         surplus = log(max(LEAST_SECONDS, seconds)) - self.middle
         self.middle += gain * surplus
@@ -82,19 +82,19 @@
         """
         if not plan.aim:
             return False
-        return self.find(plan).find_quantile(0) <= QUICK_PART * mean
+        return self.find(plan).find_quantile(0) <= QUICK_SHARE * mean
 
     def knows(self, plan: RequestPlan) -> bool:
         """Tell whether any request of the plan's route was measured."""
         found = self._routes.get(plan.route)
-        return found is not None and found.count > ASSUMED
+        return found is not None and found.count > ASSUMED_COUNT
 
     def find(self, plan: RequestPlan) -> Duration:
         """Return what is known of the plan's route."""
         found = self._routes.get(plan.route)
         if found is None:
-            middle = log(USUAL_PART * (plan.aim or USUAL_AIM))
-            found = Duration(middle, USUAL_SPREAD**2)
+            middle = log(ASSUMED_AIM_SHARE * (plan.aim or ASSUMED_AIM))
+            found = Duration(middle, ASSUMED_SPREAD**2)
             self._routes[plan.route] = found
             if len(self._routes) > ROUTES_KEPT:
                 self._routes.popitem(last=False)
--- a/hillfield/routing/explanations.py
+++ b/hillfield/routing/explanations.py
@@ -4,8 +4,8 @@
 
 from hillfield.detection.explanations import TargetExplanation
 from hillfield.routing.loads import TargetLoad
-from hillfield.routing.roomviews import RoomExplanation, explain_rooms
-from hillfield.routing.service import Service
+from hillfield.routing.roomviews import RoomExplanation, explain_capacities
+from hillfield.routing.service import ServiceState
 
 
 class LoadExplanation(Struct, frozen=True):
@@ -41,27 +41,27 @@
     rooms: tuple[RoomExplanation, ...] = ()
 
 
-def explain_service(service: Service, now: float) -> RoutingExplanation:
+def explain_service(service: ServiceState, now: float) -> RoutingExplanation:
     """Return the present state of the service's decisions."""
     service.selector.adopt(service.board.rotation())
     counters = service.counters
     return RoutingExplanation(
         service=service.policy.service,
-        queued=service.waiting(),
+        queued=service.count_waiting(),
         slots=service.selector.capacity,
         latency=service.selector.latency.mean,
         retry_tokens=service.budget.retries.tokens,
         hedge_tokens=service.budget.hedges.tokens,
         admitted=counters.admitted,
-        sent=service.ledger.sends,
+        sent=service.table.sends,
         retries=counters.retries,
         hedges=counters.hedges,
         refused=counters.refused,
         unknown=counters.unknown,
-        strays=service.ledger.strays,
+        strays=service.table.strays,
         loads=tuple(map(_explain_load, service.selector.loads.values())),
         health=service.board.explain(now),
-        rooms=explain_rooms(service, now),
+        rooms=explain_capacities(service, now),
     )
 
 
--- a/hillfield/routing/loads.py
+++ b/hillfield/routing/loads.py
@@ -56,7 +56,7 @@
     """Hold one target's requests in flight from this node and its pace.
 
     `near` says that it is in this failure domain, `limit` bounds the requests
-    in flight, `hint` is the target's own report in slots, `window` the
+    in flight, `reported_load` is the target's own report in slots, `window` the
     requests in flight that it has borne (additive increase, multiplicative
     decrease), `position` its place among the free targets of its tier.
     """
@@ -67,7 +67,7 @@
     near: bool = True
     limit: int = 1
     window: float = LARGEST_WINDOW
-    hint: float = 0
+    reported_load: float = 0
     in_flight: int = 0
     latency: Latency = field(default_factory=Latency)
     paused: bool = False
@@ -83,7 +83,7 @@
         self.watched = candidate.watched
         slots = max(1, ceil(target.slots * self.share))
         self.limit = max(1, min(slots, allowance))
-        self.hint = HINT_WEIGHT * (target.load or 0) * self.limit
+        self.reported_load = HINT_WEIGHT * (target.load or 0) * self.limit
 
     def leave_tier(self) -> None:
         """Take the target out of the rotation's tiers."""
@@ -92,25 +92,25 @@
 
     def is_free(self) -> bool:
         """Tell whether the target can take a request from this node."""
-        room = min(self.limit, self.window)
-        return self.in_flight < room and not self.paused
+        slots = min(self.limit, self.window)
+        return self.in_flight < slots and not self.paused
 
-    def narrow(self) -> None:
+    def shrink_window(self) -> None:
         """Halve the window after a sign of overload."""
         self.window = max(1, min(self.limit, self.window) / 2)
 
-    def widen(self) -> None:
+    def grow_window(self) -> None:
         """Widen the window by one in about ten windows of answers."""
         wider = self.window + WIDENING / self.window
         self.window = min(LARGEST_WINDOW, wider)
 
-    def score(self, now: float, service: float) -> float:
+    def expected_cost(self, now: float, service: float) -> float:
         """Return the expected cost of one more request; less is better."""
-        return self.fill() * self.latency.factor(now, service)
+        return self.utilization() * self.latency.factor(now, service)
 
-    def fill(self) -> float:
+    def utilization(self) -> float:
         """Return the slots in use per slot, with one more request."""
-        foreign = max(0, self.hint - self.in_flight)
+        foreign = max(0, self.reported_load - self.in_flight)
         return (self.in_flight + foreign + 1) / self.limit
 
 
--- a/hillfield/routing/measurement.py
+++ b/hillfield/routing/measurement.py
@@ -29,7 +29,7 @@
 from hillfield.routing.phases import AttemptTrigger
 from hillfield.routing.recovery import finish
 from hillfield.routing.requests import Arrival, Send
-from hillfield.routing.service import Service, open_service
+from hillfield.routing.service import ServiceState, open_service
 
 SIZES: Final = (30, 100, 300, 1000)
 SLOTS: Final = 4
@@ -139,14 +139,14 @@
         )
 
 
-def _time_decisions(service: Service, arrival: Arrival) -> float:
+def _time_decisions(service: ServiceState, arrival: Arrival) -> float:
     start = perf_counter()
     for _ in range(DECISIONS):
-        verdict = admit(service, 0, arrival)
-        if isinstance(verdict, Send):
-            attempt = service.ledger.attempts[verdict.attempt]
+        decision = admit(service, 0, arrival)
+        if isinstance(decision, Send):
+            attempt = service.table.attempts[decision.attempt]
             attempt.follow(AttemptTrigger.WRITE)
-            service.board.note_started(0, verdict.target, verdict.attempt)
+            service.board.note_started(0, decision.target, decision.attempt)
             finish(service, 0, attempt, ANSWER)
         serve_queue(service, 0)
     return (perf_counter() - start) / DECISIONS * MICROSECONDS
--- a/hillfield/routing/pauses.py
+++ b/hillfield/routing/pauses.py
@@ -28,7 +28,7 @@
         """Pause a target for about `base` seconds or longer."""
         if load.paused:
             return
-        load.narrow()
+        load.shrink_window()
         seconds = max(FIRST_PAUSE, base) * 2**load.pauses
         load.pauses = min(load.pauses + 1, PAUSES_COUNTED)
         # Nodes that were refused together must not come back together.
--- a/hillfield/routing/placing.py
+++ b/hillfield/routing/placement.py
@@ -7,81 +7,85 @@
 
 from hillfield.model import Target, TargetId
 from hillfield.routing.records import RequestRecord
-from hillfield.routing.rooms import Room
-from hillfield.routing.service import Service
+from hillfield.routing.capacity import ReportedCapacity
+from hillfield.routing.service import ServiceState
 
 
-def place(
-    service: Service,
+def select_target(
+    service: ServiceState,
     now: float,
     record: RequestRecord,
     excluded: tuple[TargetId, ...] = (),
 ) -> Target | None:
     """Return the target for the next attempt; None: none can take it."""
-    trial = service.is_trial(record)
-    if not service.rooms.are_known(now):
+    trial = service.can_be_trial(record)
+    if not service.capacities.has_reports(now):
         return service.choose(now, excluded, trial=trial)
     service.selector.adopt(service.board.rotation())
     if trial:
-        found = _find_trial(service, now, excluded)
+        found = _select_trial_target(service, now, excluded)
         if found is not None:
             return found
-    return _place_usual(service, now, record, excluded)
+    return _select_with_capacity(service, now, record, excluded)
 
 
-def place_hedge(
-    service: Service,
+def select_hedge_target(
+    service: ServiceState,
     now: float,
     record: RequestRecord,
 ) -> Target | None:
     """Return a target with room for a second attempt beside the first."""
-    if not service.rooms.are_known(now):
+    if not service.capacities.has_reports(now):
         return service.choose(now, record.tried)
-    held = service.list_held(now, record)
-    full = (*record.tried, *held, *service.rooms.list_full(now))
+    withholding = service.list_withholding(now, record)
+    without_slot = (
+        *record.tried,
+        *withholding,
+        *service.capacities.list_full(now),
+    )
     choose = service.selector.choose
-    return choose(now, full, near=True) or choose(now, full)
+    return choose(now, without_slot, near=True) or choose(now, without_slot)
 
 
-def _find_trial(
-    service: Service,
+def _select_trial_target(
+    service: ServiceState,
     now: float,
     excluded: tuple[TargetId, ...],
 ) -> Target | None:
     """Return a target nearby whose gate asks for a trial."""
-    wanting = service.rooms.list_wanting(now)
-    if not wanting:
+    awaiting = service.capacities.list_awaiting_trial(now)
+    if not awaiting:
         return None
     others = (
-        target for target in service.selector.loads if target not in wanting
+        target for target in service.selector.loads if target not in awaiting
     )
     return service.selector.choose(now, (*excluded, *others), near=True)
 
 
-def _place_usual(
-    service: Service,
+def _select_with_capacity(
+    service: ServiceState,
     now: float,
     record: RequestRecord,
     excluded: tuple[TargetId, ...],
 ) -> Target | None:
     choose = service.selector.choose
-    full = (*excluded, *service.rooms.list_full(now))
-    doubted = service.list_held(now, record)
-    shunned = service.rooms.list_shunned(now)
-    found = choose(now, (*full, *doubted), near=True)
+    without_slot = (*excluded, *service.capacities.list_full(now))
+    withholding = service.list_withholding(now, record)
+    quarantined = service.capacities.list_quarantined(now)
+    found = choose(now, (*without_slot, *withholding), near=True)
     # One that is merely suspected nearby goes before a way across.
-    found = found or choose(now, (*full, *shunned), near=True)
+    found = found or choose(now, (*without_slot, *quarantined), near=True)
     if found is not None:
         return found
-    return _place_full(service, now, record, excluded, doubted)
+    return _select_without_capacity(service, now, record, excluded, withholding)
 
 
-def _place_full(
-    service: Service,
+def _select_without_capacity(
+    service: ServiceState,
     now: float,
     record: RequestRecord,
     excluded: tuple[TargetId, ...],
-    held: tuple[TargetId, ...],
+    withholding: tuple[TargetId, ...],
 ) -> Target | None:
     """Return the target where no room is known nearby; None: wait here.
 
@@ -89,12 +93,12 @@
     back declined costs its bytes twice.
     """
     choose = service.selector.choose
-    avoided = (*excluded, *held)
-    full = (*avoided, *service.rooms.list_full(now))
-    if _comes_in_time(service, now, record, near=True):
+    avoided = (*excluded, *withholding)
+    without_slot = (*avoided, *service.capacities.list_full(now))
+    if _is_answered_in_time(service, now, record, near=True):
         return choose(now, avoided, near=True)
-    found = choose(now, full)
-    if found is None and _comes_in_time(service, now, record, near=False):
+    found = choose(now, without_slot)
+    if found is None and _is_answered_in_time(service, now, record, near=False):
         found = choose(now, avoided)
     found = found or choose(now, avoided, near=True)
     found = found or choose(now, excluded, near=True)
@@ -104,8 +108,8 @@
     return found
 
 
-def _comes_in_time(
-    service: Service,
+def _is_answered_in_time(
+    service: ServiceState,
     now: float,
     record: RequestRecord,
     *,
@@ -113,46 +117,50 @@
 ) -> bool:
     """Tell whether a request that waits at a gate is still worth most."""
     plan = record.arrival.plan
-    wait = _expect_wait(service, near)
+    wait = _estimate_slot_wait(service, near)
     if wait is None or not plan.aim:
         return False
     usual = service.durations.find(plan).find_quantile(0)
-    return record.find_spent(now) + wait + usual < plan.aim
+    return record.compute_elapsed(now) + wait + usual < plan.aim
 
 
-def _expect_wait(service: Service, near: bool) -> float | None:
+def _estimate_slot_wait(service: ServiceState, near: bool) -> float | None:
     """Return the least seconds until a slot is free, if it is known."""
     mean = service.selector.latency.mean
     waits: list[float] = []
     for target, load in service.selector.loads.items():
-        room = service.rooms.find(target)
-        if load.near is near and room is not None and not room.held:
-            waits.append(_find_turn(load.target, room, mean))
+        capacity = service.capacities.find(target)
+        if load.near is near and capacity is not None and not capacity.withheld:
+            waits.append(_estimate_target_wait(load.target, capacity, mean))
     return min(waits, default=None)
 
 
-def _find_turn(target: Target, room: Room, mean: float) -> float:
+def _estimate_target_wait(
+    target: Target, capacity: ReportedCapacity, mean: float
+) -> float:
     """Return the seconds until one more finds a slot, and its turn."""
-    slot = (room.waiting + 1) * mean / target.slots
-    return slot if room.rate is None else max(slot, room.wait)
+    slot = (capacity.waiting + 1) * mean / target.slots
+    return slot if capacity.rate is None else max(slot, capacity.wait)
 
 
-def place_waiting(
-    service: Service,
+def select_waiting_target(
+    service: ServiceState,
     now: float,
     record: RequestRecord,
 ) -> Target | None:
     """Return the target for a request that has waited here."""
     service.selector.adopt(service.board.rotation())
-    return choose_freed(service, now, ()) or place(service, now, record)
+    return select_freed_target(service, now, ()) or select_target(
+        service, now, record
+    )
 
 
-def choose_freed(
-    service: Service,
+def select_freed_target(
+    service: ServiceState,
     now: float,
     excluded: tuple[TargetId, ...],
 ) -> Target | None:
     """Return the target that has just answered, unless gates tell of room."""
-    if service.rooms.are_known(now):
+    if service.capacities.has_reports(now):
         return None
     return service.selector.choose_freed(now, excluded)
--- a/hillfield/routing/turns.py
+++ b/hillfield/routing/queueorder.py
@@ -3,13 +3,13 @@
 from msgspec import Struct
 
 
-class Turn(Struct, frozen=True, order=True):
+class QueueOrder(Struct, frozen=True, order=True):
     """Order requests that wait for one service: the least goes first.
 
     `long` says that it takes about as long as others or longer, `priority` is
     the rank that its route has (0 is the highest).
 
-    >>> Turn(long=False, priority=2) < Turn(long=True, priority=0)
+    >>> QueueOrder(long=False, priority=2) < QueueOrder(long=True, priority=0)
     True
     """
 
--- a/hillfield/routing/queues.py
+++ b/hillfield/routing/queues.py
@@ -7,9 +7,9 @@
 from typing import Final
 
 from hillfield.routing.records import RequestRecord
-from hillfield.routing.turns import Turn
+from hillfield.routing.queueorder import QueueOrder
 
-SHARE_OF_FIRST: Final = 0.9
+FIRST_DEADLINE_SHARE: Final = 0.9
 
 
 class FairQueue:
@@ -23,7 +23,7 @@
 
     def __init__(self) -> None:
         """Start empty."""
-        self._lines: OrderedDict[str, list[RequestRecord]] = OrderedDict()
+        self._queues: OrderedDict[str, list[RequestRecord]] = OrderedDict()
         self._length = 0
 
     def __len__(self) -> int:
@@ -32,70 +32,72 @@
 
     def __iter__(self) -> Iterator[RequestRecord]:
         """Yield the requests that wait; none may be taken out meanwhile."""
-        return chain.from_iterable(self._lines.values())
+        return chain.from_iterable(self._queues.values())
 
-    def accounts(self) -> int:
+    def count_accounts(self) -> int:
         """Return how many accounts wait."""
-        return len(self._lines)
+        return len(self._queues)
 
-    def waiting(self, account: str) -> int:
+    def count_waiting(self, account: str) -> int:
         """Return how many requests of the account wait."""
-        return len(self._lines.get(account, ()))
+        return len(self._queues.get(account, ()))
 
     def push(self, record: RequestRecord) -> None:
         """Let a request wait among those of its account."""
         account = record.arrival.plan.account
-        line = self._lines.setdefault(account, [])
-        place = bisect_right if record.turn.long else bisect_left
-        line.insert(place(line, record.turn, key=read_turn), record)
+        requests = self._queues.setdefault(account, [])
+        place = bisect_right if record.queue_order.long else bisect_left
+        requests.insert(
+            place(requests, record.queue_order, key=get_queue_order), record
+        )
         self._length += 1
 
     def peek(self) -> RequestRecord:
         """Return the request whose turn it is."""
-        return next(iter(self._lines.values()))[0]
+        return next(iter(self._queues.values()))[0]
 
     def pop(self) -> RequestRecord:
         """Take the first request of the account whose turn it is."""
-        account, line = next(iter(self._lines.items()))
-        record = line.pop(0)
+        account, requests = next(iter(self._queues.items()))
+        record = requests.pop(0)
         self._length -= 1
-        if line:
-            self._lines.move_to_end(account)
+        if requests:
+            self._queues.move_to_end(account)
         else:
-            self._lines.pop(account)
+            self._queues.pop(account)
         return record
 
     def remove(self, record: RequestRecord) -> None:
         """Take a request out, wherever it waits."""
         account = record.arrival.plan.account
-        line = self._lines.get(account)
-        if line is None or record not in line:
+        requests = self._queues.get(account)
+        if requests is None or record not in requests:
             return
-        line.remove(record)
+        requests.remove(record)
         self._length -= 1
-        if not line:
-            self._lines.pop(account)
+        if not requests:
+            self._queues.pop(account)
 
-    def longest(self) -> int:
+    def longest_length(self) -> int:
         """Return how many wait of the account with the most waiting."""
-        return max(map(len, self._lines.values()), default=0)
+        return max(map(len, self._queues.values()), default=0)
 
     def evict(self) -> RequestRecord:
         """Take the last in turn of the account with the most waiting."""
-        line = max(self._lines.values(), key=len)
-        record = line[-1]
+        requests = max(self._queues.values(), key=len)
+        record = requests[-1]
         self.remove(record)
         return record
 
-    def take_all_that(
+    def remove_matching(
         self,
         is_over: Callable[[RequestRecord], bool],
     ) -> tuple[RequestRecord, ...]:
         """Take out the requests whose wait is over."""
         over = tuple(
             record
-            for line in self._lines.values()
-            for record in line
+            for requests in self._queues.values()
+            for record in requests
             if is_over(record)
         )
         for record in over:
@@ -103,9 +105,9 @@
         return over
 
 
-def read_turn(record: RequestRecord) -> Turn:
+def get_queue_order(record: RequestRecord) -> QueueOrder:
     """Return when a request goes among those that wait."""
-    return record.turn
+    return record.queue_order
 
 
 def is_late(start: float, need: float, record: RequestRecord) -> bool:
@@ -114,5 +116,5 @@
     What is sent too late costs a slot and brings nothing, so that the need
     counts up to nearly the whole deadline.
     """
-    bound = record.bound_need(need, SHARE_OF_FIRST)
+    bound = record.bound_duration(need, FIRST_DEADLINE_SHARE)
     return start + bound >= record.arrival.expires
--- a/hillfield/routing/scarcity.py
+++ b/hillfield/routing/ratelimits.py
@@ -13,19 +13,19 @@
 from hillfield.model import Step
 from hillfield.routing.records import RequestRecord
 from hillfield.routing.refusals import Cause
-from hillfield.routing.rooms import Room
-from hillfield.routing.service import Service
+from hillfield.routing.capacity import ReportedCapacity
+from hillfield.routing.service import ServiceState
 
 # The fractions of its multiples lie as far apart as can be, however many there
 # are (the golden ratio), so that those refused together don't return together.
-SPREADING: Final = 0.618
+SPREAD_RATIO: Final = 0.618
 # Seconds for which a gate is believed that no turn is left: it tells only some of
 # the nodes that use its target, and others hear of a turn only by asking.
-ASKED_AGAIN: Final = 1.0
+EXHAUSTION_LIFETIME: Final = 1.0
 
 
-def find_scarcity(
-    service: Service,
+def find_rate_limit_cause(
+    service: ServiceState,
     now: float,
     record: RequestRecord,
 ) -> Cause | None:
@@ -35,13 +35,13 @@
     it is worth most; the cause says when the first of them takes one.
     """
     plan = record.arrival.plan
-    wait = _find_wait(service, now) if plan.aim else None
+    wait = _compute_wait(service, now) if plan.aim else None
     if wait is None:
         return None
     usual = service.durations.find(plan).find_quantile(0)
-    if record.find_spent(now) + wait + usual <= plan.aim:
+    if record.compute_elapsed(now) + wait + usual <= plan.aim:
         return None
-    spread, _ = modf(SPREADING * service.counters.refused)
+    spread, _ = modf(SPREAD_RATIO * service.counters.refused)
     return Cause(
         EventCode.SERVICE_LIMITED,
         Step.ADMIT,
@@ -50,7 +50,7 @@
     )
 
 
-def _find_wait(service: Service, now: float) -> float | None:
+def _compute_wait(service: ServiceState, now: float) -> float | None:
     """Return the seconds until a target takes one more, as last told.
 
     None: one may take it now, not all name a limit, or none has told lately.
@@ -59,15 +59,18 @@
     loads = service.selector.loads
     used = (target for target in loads if loads[target].tier is not None)
     waits: list[float] = []
-    for room in map(service.rooms.find, used):
-        if room is None or not _is_spent(room):
+    for capacity in map(service.capacities.find, used):
+        if capacity is None or not _is_exhausted(capacity):
             return None
-        if room.held < Held.USUAL and now - room.told <= ASKED_AGAIN:
-            waits.append(room.wait)
+        if (
+            capacity.withheld < Held.USUAL
+            and now - capacity.received_at <= EXHAUSTION_LIFETIME
+        ):
+            waits.append(capacity.wait)
     return min(waits, default=None)
 
 
-def _is_spent(room: Room) -> bool:
+def _is_exhausted(capacity: ReportedCapacity) -> bool:
     """Tell whether a target's limit, or its gate, leaves no turn now."""
-    bound = room.rate is not None or room.held >= Held.USUAL
-    return bound and room.free <= 0
+    bound = capacity.rate is not None or capacity.withheld >= Held.USUAL
+    return bound and capacity.free <= 0
--- a/hillfield/routing/readings.py
+++ b/hillfield/routing/readings.py
@@ -25,7 +25,7 @@
 GATEWAY_TIMEOUT: Final[int] = HTTPStatus.GATEWAY_TIMEOUT
 
 
-class Reading(Struct, frozen=True):
+class Classification(Struct, frozen=True):
     """Hold an observation's trigger and what to tell if all else fails.
 
     `status` is the answer's status if the request may have run,
@@ -44,14 +44,14 @@
 
 
 @singledispatch
-def read_observation(observation: Observation) -> Reading:
+def read_observation(observation: Observation) -> Classification:
     """Return the reading of an observation."""
     raise TypeError(f'no reading of {type(observation).__name__}')
 
 
 @read_observation.register
-def _connect_failed(observation: ConnectFailed) -> Reading:
-    return Reading(
+def _connect_failed(observation: ConnectFailed) -> Classification:
+    return Classification(
         AttemptTrigger.CONNECT_FAILED,
         EventCode.TARGET_NOT_REACHED,
         Step.CONNECT,
@@ -61,8 +61,8 @@
 
 
 @read_observation.register
-def _nothing_written(observation: NothingWritten) -> Reading:
-    return Reading(
+def _nothing_written(observation: NothingWritten) -> Classification:
+    return Classification(
         AttemptTrigger.NOTHING_WRITTEN,
         EventCode.TARGET_NOT_REACHED,
         Step.SEND,
@@ -72,8 +72,8 @@
 
 
 @read_observation.register
-def _declined(observation: Declined) -> Reading:
-    return Reading(
+def _declined(observation: Declined) -> Classification:
+    return Classification(
         AttemptTrigger.DECLINED,
         EventCode.TARGET_DECLINED,
         Step.ADMIT,
@@ -85,8 +85,8 @@
 
 
 @read_observation.register
-def _shed(observation: Shed) -> Reading:
-    return Reading(
+def _shed(observation: Shed) -> Classification:
+    return Classification(
         AttemptTrigger.SHED,
         EventCode.REQUEST_SHED,
         detail='the target refused: it is full',
@@ -97,19 +97,19 @@
 
 
 @read_observation.register
-def _broken(observation: Broken) -> Reading:
+def _broken(observation: Broken) -> Classification:
     trigger = AttemptTrigger.BROKEN
     if observation.relayed:
         trigger = AttemptTrigger.RELAYED
-    return Reading(trigger, detail=observation.detail)
+    return Classification(trigger, detail=observation.detail)
 
 
 @read_observation.register
-def _timed_out(observation: TimedOut) -> Reading:
+def _timed_out(observation: TimedOut) -> Classification:
     trigger = AttemptTrigger.TIMED_OUT
     if observation.relayed:
         trigger = AttemptTrigger.RELAYED
-    return Reading(
+    return Classification(
         trigger,
         EventCode.REQUEST_TIMED_OUT,
         status=GATEWAY_TIMEOUT,
@@ -118,13 +118,13 @@
 
 
 @read_observation.register
-def _answered(observation: Answered) -> Reading:
+def _answered(observation: Answered) -> Classification:
     if not observation.wrong:
-        return Reading(AttemptTrigger.ANSWERED, failed=False)
+        return Classification(AttemptTrigger.ANSWERED, failed=False)
     trigger = AttemptTrigger.WRONG
     if observation.relayed:
         trigger = AttemptTrigger.RELAYED
-    return Reading(
+    return Classification(
         trigger,
         EventCode.ANSWER_WRONG,
         detail=f'wrong answer: {observation.wrong}',
@@ -132,5 +132,5 @@
 
 
 @read_observation.register
-def _caller_gone(observation: CallerGone) -> Reading:
-    return Reading(AttemptTrigger.GONE, failed=False)
+def _caller_gone(observation: CallerGone) -> Classification:
+    return Classification(AttemptTrigger.GONE, failed=False)
--- a/hillfield/routing/reluctance.py
+++ b/hillfield/routing/recentdeclines.py
@@ -8,14 +8,14 @@
 # users' installations; a longer memory would leave a target idle that is well
 # again, a shorter one asks its gate in vain. Work that may try a doubtful
 # target goes there all the same.
-REMEMBERED: Final = 1.5
+DECLINE_LIFETIME: Final = 1.5
 
 
-class Reluctance:
+class RecentDeclines:
     """Hold the targets whose gates declined for longer than a moment.
 
-    >>> held = Reluctance()
-    >>> held.note(10.0, 'target')
+    >>> held = RecentDeclines()
+    >>> held.record(10.0, 'target')
     >>> held.list_targets(10.5), held.list_targets(11.5)
     (('target',), ())
     """
@@ -24,9 +24,9 @@
         """Start without any."""
         self._until: dict[TargetId, float] = {}
 
-    def note(self, now: float, target: TargetId) -> None:
+    def record(self, now: float, target: TargetId) -> None:
         """Remember that a gate holds work back."""
-        self._until[target] = now + REMEMBERED
+        self._until[target] = now + DECLINE_LIFETIME
 
     def forget(self, target: TargetId) -> None:
         """Forget it: the target has answered."""
--- a/hillfield/routing/records.py
+++ b/hillfield/routing/records.py
@@ -15,9 +15,9 @@
     RequestPhase,
     RequestTrigger,
 )
-from hillfield.routing.readings import Reading
+from hillfield.routing.readings import Classification
 from hillfield.routing.requests import Arrival, Send
-from hillfield.routing.turns import Turn
+from hillfield.routing.queueorder import QueueOrder
 
 MAXIMUM_UNSENT: Final = 6
 # A gate that declines costs a few milliseconds and its target nothing.
@@ -28,11 +28,11 @@
 class RequestRecord:
     """Follow one request.
 
-    `live` numbers its attempts that have not ended, `consumed` says whether
+    `live` numbers its attempts that have not ended, `any_written` says whether
     any of its bytes was written, so that only a body held whole can be sent
-    again, `unsent` how many attempts ended before any byte was written,
-    `declined` the targets whose nodes would not hand it over, `began` when
-    it was admitted, `turn` when it goes among those that wait.
+    again, `unsent_attempts` how many attempts ended before any byte was written,
+    `declined_by` the targets whose nodes would not hand it over, `started` when
+    it was admitted, `queue_order` when it goes among those that wait.
     """
 
     arrival: Arrival
@@ -40,13 +40,13 @@
     live: list[int] = field(default_factory=list)
     tried: tuple[TargetId, ...] = ()
     queued_at: float = 0
-    reading: Reading | None = None
+    classification: Classification | None = None
     peer: str = ''
-    consumed: bool = False
-    unsent: int = 0
-    declined: tuple[TargetId, ...] = ()
-    began: float | None = None
-    turn: Turn = Turn()
+    any_written: bool = False
+    unsent_attempts: int = 0
+    declined_by: tuple[TargetId, ...] = ()
+    started: float | None = None
+    queue_order: QueueOrder = QueueOrder()
 
     def follow(self, trigger: RequestTrigger) -> RequestAction | None:
         """Take a step of the chart; None when the chart has none."""
@@ -59,9 +59,9 @@
     @property
     def sent(self) -> int:
         """Return how many attempts a target may have seen."""
-        return len(self.tried) - self.unsent
+        return len(self.tried) - self.unsent_attempts
 
-    def may_try_again(self) -> bool:
+    def has_attempts_left(self) -> bool:
         """Tell whether the plan allows one more attempt.
 
         Attempts that no target saw have a bound of their own: while many
@@ -69,26 +69,26 @@
         """
         if self.sent >= self.arrival.plan.maximum_attempts:
             return False
-        declined = len(self.declined)
-        unsent = self.unsent - declined
+        declined = len(self.declined_by)
+        unsent = self.unsent_attempts - declined
         return unsent <= MAXIMUM_UNSENT and declined <= MAXIMUM_DECLINED
 
-    def find_spent(self, now: float) -> float:
+    def compute_elapsed(self, now: float) -> float:
         """Return the seconds since the request began."""
-        return 0 if self.began is None else now - self.began
+        return 0 if self.started is None else now - self.started
 
     def has_ended(self) -> bool:
         """Tell whether the caller has been given its verdict."""
         return self.phase is RequestPhase.ENDED
 
-    def bound_need(self, seconds: float, share: float) -> float:
+    def bound_duration(self, seconds: float, share: float) -> float:
         """Return the seconds of an attempt, at most a share of the deadline.
 
         A latency of requests of other kinds must not shut out quick ones.
         """
         return min(seconds, self.arrival.plan.deadline * share)
 
-    def is_doubtful(self) -> bool:
+    def is_uncertain(self) -> bool:
         """Tell whether an attempt may have run without a usable answer."""
         return self.phase in {
             RequestPhase.SENT_DOUBTFUL,
@@ -144,8 +144,8 @@
 
     def start(self, now: float, record: RequestRecord, target: Target) -> Send:
         """Start an attempt at the target."""
-        if record.began is None:
-            record.began = now
+        if record.started is None:
+            record.started = now
         record.follow(RequestTrigger.SEND)
         self.sends += 1
         attempt = AttemptRecord(self.sends, record, target, now)
--- a/hillfield/routing/recovery.py
+++ b/hillfield/routing/recovery.py
@@ -5,24 +5,24 @@
 from msgspec.structs import replace
 
 from hillfield.model import TargetId
-from hillfield.routing.hedging import hedge_again
-from hillfield.routing.placing import choose_freed
-from hillfield.routing.patience import is_stale
+from hillfield.routing.hedging import replace_declined
+from hillfield.routing.placement import select_freed_target
+from hillfield.routing.waiting import is_stale
 from hillfield.routing.phases import (
     AttemptAction,
     AttemptPhase,
     AttemptTrigger,
     RequestTrigger,
 )
-from hillfield.routing.queues import read_turn
-from hillfield.routing.readings import Reading, read_observation
+from hillfield.routing.queues import get_queue_order
+from hillfield.routing.readings import Classification, read_observation
 from hillfield.routing.records import AttemptRecord, RequestRecord
 from hillfield.routing.refusals import (
     describe_expiry,
     describe_reading,
     refuse,
 )
-from hillfield.routing.repeats import UNSENT, find_hindrance
+from hillfield.routing.repeats import UNSENT_TRIGGERS, charge_retry
 from hillfield.routing.requests import (
     Done,
     Observation,
@@ -31,150 +31,155 @@
     Wait,
 )
 from hillfield.routing.reselection import choose_again
-from hillfield.routing.scarcity import find_scarcity
-from hillfield.routing.service import Service
-from hillfield.routing.telling import tell_ending
+from hillfield.routing.ratelimits import find_rate_limit_cause
+from hillfield.routing.service import ServiceState
+from hillfield.routing.feedback import record_end
 
-PATIENCE: Final = 2.0
-DOUBTFUL: Final = frozenset((AttemptAction.DOUBT, AttemptAction.ABANDON))
+FREED_SLOT_WAIT: Final = 2.0
+MAY_HAVE_RUN: Final = frozenset((AttemptAction.DOUBT, AttemptAction.ABANDON))
 
 
 def finish(
-    service: Service,
+    service: ServiceState,
     now: float,
     attempt: AttemptRecord,
     observation: Observation,
 ) -> Verdict:
     """End an attempt and decide what becomes of its request."""
     record = attempt.record
-    reading = read_observation(observation)
+    classification = read_observation(observation)
     written = attempt.phase is not AttemptPhase.CONNECTING
-    action = attempt.follow(reading.trigger)
-    service.ledger.close(attempt)
-    tell_ending(service, now, attempt, reading, observation)
+    action = attempt.follow(classification.trigger)
+    service.table.close(attempt)
+    record_end(service, now, attempt, classification, observation)
     service.board.observe(now, attempt.target.id, attempt.number, observation)
     if record.has_ended():
         return Done(record.arrival.request)
-    if action in DOUBTFUL:
+    if action in MAY_HAVE_RUN:
         record.follow(RequestTrigger.DOUBT)
     if action is AttemptAction.SETTLE:
-        return _settle(service, record, reading)
-    if reading.trigger is AttemptTrigger.GONE:
-        return _cut(service, record)
-    record.reading = reading
+        return _settle(service, record, classification)
+    if classification.trigger is AttemptTrigger.GONE:
+        return _finish_cancelled(service, record)
+    record.classification = classification
     record.peer = str(attempt.target.id.address)
-    record.consumed |= written
-    record.unsent += reading.trigger in UNSENT
-    if reading.trigger is AttemptTrigger.DECLINED:
-        record.declined = (*record.declined, attempt.target.id)
-    return _continue(service, now, record, reading)
+    record.any_written |= written
+    record.unsent_attempts += classification.trigger in UNSENT_TRIGGERS
+    if classification.trigger is AttemptTrigger.DECLINED:
+        record.declined_by = (*record.declined_by, attempt.target.id)
+    return _continue(service, now, record, classification)
 
 
 def _continue(
-    service: Service,
+    service: ServiceState,
     now: float,
     record: RequestRecord,
-    reading: Reading,
+    classification: Classification,
 ) -> Verdict:
     if record.live:
         # The other attempt may still bring the answer.
         again = None
-        if reading.trigger is AttemptTrigger.DECLINED:
-            again = hedge_again(service, now, record)
+        if classification.trigger is AttemptTrigger.DECLINED:
+            again = replace_declined(service, now, record)
         return again or Wait(record.arrival.request)
-    if record.consumed and not record.arrival.replayable:
-        return refuse(service, record, describe_reading(reading))
-    return recover(service, now, record, reading)
+    if record.any_written and not record.arrival.replayable:
+        return refuse(service, record, describe_reading(classification))
+    return recover(service, now, record, classification)
 
 
 def recover(
-    service: Service,
+    service: ServiceState,
     now: float,
     record: RequestRecord,
-    reading: Reading,
+    classification: Classification,
 ) -> Verdict:
     """Start the next attempt, let it wait for a slot, or give up."""
-    excluded = _find_excluded(service, record, reading)
+    excluded = _find_excluded(service, record, classification)
     if excluded is None:
-        return _give_up(service, record, reading, 'no other target')
-    hindrance = find_hindrance(service, now, record, reading)
+        return _give_up(service, record, classification, 'no other target')
+    hindrance = charge_retry(service, now, record, classification)
     if hindrance:
-        return _give_up(service, record, reading, hindrance)
-    scarcity = find_scarcity(service, now, record)
+        return _give_up(service, record, classification, hindrance)
+    scarcity = find_rate_limit_cause(service, now, record)
     if scarcity is not None:
         return refuse(service, record, scarcity)
     service.counters.retries += 1
-    if not _is_patient(record, reading):
+    if not _awaits_freed_slot(record, classification):
         target = choose_again(service, now, record, excluded)
         if target is not None:
             return service.send(now, record, target)
     record.follow(RequestTrigger.QUEUE)
     record.queued_at = now
-    service.retries.append(record)
+    service.waiting_retries.append(record)
     return Wait(record.arrival.request)
 
 
-def serve_retries(service: Service, now: float) -> tuple[Verdict, ...]:
+def serve_retries(service: ServiceState, now: float) -> tuple[Verdict, ...]:
     """Send the retries that have found a slot, in their turns."""
-    verdicts: list[Verdict] = []
-    waiting = sorted(service.retries, key=read_turn)
-    service.retries.clear()
+    decisions: list[Verdict] = []
+    waiting = sorted(service.waiting_retries, key=get_queue_order)
+    service.waiting_retries.clear()
     for record in waiting:
-        verdict = _serve_retry(service, now, record)
-        if verdict is None:
-            service.retries.append(record)
+        decision = _serve_retry(service, now, record)
+        if decision is None:
+            service.waiting_retries.append(record)
         else:
-            verdicts.append(verdict)
-    return tuple(verdicts)
+            decisions.append(decision)
+    return tuple(decisions)
 
 
 def _give_up(
-    service: Service,
+    service: ServiceState,
     record: RequestRecord,
-    reading: Reading,
+    classification: Classification,
     reason: str,
 ) -> Refuse:
-    cause = describe_reading(reading)
+    cause = describe_reading(classification)
     told = replace(cause, detail=f'{cause.detail}, {reason}')
     return refuse(service, record, told)
 
 
-def _is_patient(record: RequestRecord, reading: Reading) -> bool:
+def _awaits_freed_slot(
+    record: RequestRecord, classification: Classification
+) -> bool:
     """Tell whether the next attempt should wait for a slot known as free."""
     last = len(record.tried) >= record.arrival.plan.maximum_attempts - 1
-    return last and reading.trigger is AttemptTrigger.SHED
+    return last and classification.trigger is AttemptTrigger.SHED
 
 
 def _serve_retry(
-    service: Service,
+    service: ServiceState,
     now: float,
     record: RequestRecord,
 ) -> Verdict | None:
-    scarcity = find_scarcity(service, now, record)
+    scarcity = find_rate_limit_cause(service, now, record)
     if scarcity is not None:
         return refuse(service, record, scarcity)
-    late = now + service.need(record) >= record.arrival.expires
+    late = now + service.estimate_retry(record) >= record.arrival.expires
     if late or is_stale(service, now, record):
         return refuse(service, record, describe_expiry())
-    reading = record.reading
-    if reading is None:
+    classification = record.classification
+    if classification is None:
         return refuse(service, record, describe_expiry())
-    excluded = _find_excluded(service, record, reading)
+    excluded = _find_excluded(service, record, classification)
     if excluded is None:
-        return refuse(service, record, describe_reading(reading))
-    patience = PATIENCE * service.selector.latency.mean
-    if _is_patient(record, reading) and now < record.queued_at + patience:
+        return refuse(service, record, describe_reading(classification))
+    patience = FREED_SLOT_WAIT * service.selector.latency.mean
+    if (
+        _awaits_freed_slot(record, classification)
+        and now < record.queued_at + patience
+    ):
         target = service.selector.choose_freed(now, excluded)
     else:
-        freed = choose_freed(service, now, excluded)
+        freed = select_freed_target(service, now, excluded)
         target = freed or choose_again(service, now, record, excluded)
     return None if target is None else service.send(now, record, target)
 
 
 def _find_excluded(
-    service: Service,
+    service: ServiceState,
     record: RequestRecord,
-    reading: Reading,
+    classification: Classification,
 ) -> tuple[TargetId, ...] | None:
     """Return the targets not to try; None when no target is left to try."""
     selector = service.selector
@@ -184,24 +189,24 @@
     last = record.tried[-1:]
     if selector.has_other(last):
         return last
-    if reading.same_target and selector.capacity:
+    if classification.same_target and selector.capacity:
         return ()
     return None
 
 
 def _settle(
-    service: Service,
+    service: ServiceState,
     record: RequestRecord,
-    reading: Reading,
+    classification: Classification,
 ) -> Verdict:
-    service.ledger.end(record, RequestTrigger.SETTLE)
-    if reading.trigger is AttemptTrigger.ANSWERED:
+    service.table.end(record, RequestTrigger.SETTLE)
+    if classification.trigger is AttemptTrigger.ANSWERED:
         account = record.arrival.plan.account
-        service.budget.note_answered(service.policy, account)
+        service.budget.record_answered(service.policy, account)
     return Done(record.arrival.request)
 
 
-def _cut(service: Service, record: RequestRecord) -> Verdict:
+def _finish_cancelled(service: ServiceState, record: RequestRecord) -> Verdict:
     if not record.live:
-        service.ledger.end(record, RequestTrigger.LEAVE)
+        service.table.end(record, RequestTrigger.LEAVE)
     return Done(record.arrival.request)
--- a/hillfield/routing/refusals.py
+++ b/hillfield/routing/refusals.py
@@ -11,16 +11,16 @@
 from hillfield.routing.readings import (
     BAD_GATEWAY,
     GATEWAY_TIMEOUT,
-    Reading,
+    Classification,
 )
 from hillfield.routing.records import Ledger, RequestRecord
 from hillfield.routing.requests import Refuse
-from hillfield.routing.service import Service
+from hillfield.routing.service import ServiceState
 
 UNAVAILABLE: Final[int] = HTTPStatus.SERVICE_UNAVAILABLE
 TOO_MANY: Final[int] = HTTPStatus.TOO_MANY_REQUESTS
-COME_BACK: Final = 1.0
-SHORTEST_COME_BACK: Final = 0.05
+DEFAULT_RETRY_AFTER: Final = 1.0
+SHORTEST_RETRY_AFTER: Final = 0.05
 
 
 class Cause(Struct, frozen=True):
@@ -33,19 +33,19 @@
     event: EventCode
     step: Step
     detail: str
-    retry_after: float = COME_BACK
+    retry_after: float = DEFAULT_RETRY_AFTER
     status: int = UNAVAILABLE
     doubtful_status: int = BAD_GATEWAY
 
 
-def describe_reading(reading: Reading) -> Cause:
+def describe_reading(classification: Classification) -> Cause:
     """Return the cause for an attempt that failed."""
     return Cause(
-        reading.event,
-        reading.step,
-        reading.detail,
-        reading.retry_after or COME_BACK,
-        doubtful_status=reading.status,
+        classification.event,
+        classification.step,
+        classification.detail,
+        classification.retry_after or DEFAULT_RETRY_AFTER,
+        doubtful_status=classification.status,
     )
 
 
@@ -59,34 +59,36 @@
     )
 
 
-def refuse(service: Service, record: RequestRecord, cause: Cause) -> Refuse:
+def refuse(
+    service: ServiceState, record: RequestRecord, cause: Cause
+) -> Refuse:
     """End a request of a service and count it."""
-    failure = end_refused(service.ledger, record, cause)
+    failure = end_refused(service.table, record, cause)
     service.counters.refused += 1
     service.counters.unknown += failure.outcome is Outcome.UNKNOWN
     return Refuse(record.arrival.request, failure)
 
 
 def end_refused(
-    ledger: Ledger,
+    table: Ledger,
     record: RequestRecord,
     cause: Cause,
 ) -> RequestFailure:
     """End a request; its chart alone says what the caller is told."""
-    action = ledger.end(record, RequestTrigger.REFUSE)
+    action = table.end(record, RequestTrigger.REFUSE)
     if action is RequestAction.TELL_NOT_RUN:
-        return _describe(record, cause, Outcome.NOT_RUN, cause.status)
+        return _build_failure(record, cause, Outcome.NOT_RUN, cause.status)
     status = cause.doubtful_status
-    return _describe(record, cause, Outcome.UNKNOWN, status)
+    return _build_failure(record, cause, Outcome.UNKNOWN, status)
 
 
-def _describe(
+def _build_failure(
     record: RequestRecord,
     cause: Cause,
     outcome: Outcome,
     status: int,
 ) -> RequestFailure:
-    retry_after: float | None = max(SHORTEST_COME_BACK, cause.retry_after)
+    retry_after: float | None = max(SHORTEST_RETRY_AFTER, cause.retry_after)
     repeatable = record.arrival.plan.idempotent
     if outcome is Outcome.UNKNOWN and not repeatable:
         retry_after = None
--- a/hillfield/routing/repeats.py
+++ b/hillfield/routing/repeats.py
@@ -3,11 +3,11 @@
 from typing import Final
 
 from hillfield.routing.phases import AttemptTrigger
-from hillfield.routing.readings import Reading
+from hillfield.routing.readings import Classification
 from hillfield.routing.records import RequestRecord
-from hillfield.routing.service import Service
+from hillfield.routing.service import ServiceState
 
-UNSENT: Final = frozenset(
+UNSENT_TRIGGERS: Final = frozenset(
     (
         AttemptTrigger.CONNECT_FAILED,
         AttemptTrigger.DECLINED,
@@ -16,41 +16,41 @@
 )
 
 
-def find_hindrance(
-    service: Service,
+def charge_retry(
+    service: ServiceState,
     now: float,
     record: RequestRecord,
-    reading: Reading,
+    classification: Classification,
 ) -> str:
     """Return why no further attempt may follow; else take what it costs."""
     if not _may_repeat(record):
         return 'no attempt is left'
-    if now + service.need(record) >= record.arrival.expires:
+    if now + service.estimate_retry(record) >= record.arrival.expires:
         return 'no time is left'
-    if not _take_retry(service, record, reading):
+    if not _consume_budget(service, record, classification):
         return 'no repeat is left'
     return ''
 
 
 def _may_repeat(record: RequestRecord) -> bool:
     plan = record.arrival.plan
-    if not record.may_try_again():
+    if not record.has_attempts_left():
         return False
-    if record.is_doubtful():
+    if record.is_uncertain():
         return plan.idempotent and record.arrival.replayable
     return True
 
 
-def _take_retry(
-    service: Service,
+def _consume_budget(
+    service: ServiceState,
     record: RequestRecord,
-    reading: Reading,
+    classification: Classification,
 ) -> bool:
-    if reading.trigger is AttemptTrigger.DECLINED:
+    if classification.trigger is AttemptTrigger.DECLINED:
         # It cost the target nothing; the record bounds how often.
         return True
-    if reading.trigger in UNSENT:
-        return service.budget.take_unsent()
+    if classification.trigger in UNSENT_TRIGGERS:
+        return service.budget.consume_unsent()
     account = record.arrival.plan.account
-    shed = reading.trigger is AttemptTrigger.SHED
-    return service.budget.take_retry(account, shed)
+    shed = classification.trigger is AttemptTrigger.SHED
+    return service.budget.consume_retry(account, shed)
--- a/hillfield/routing/reselection.py
+++ b/hillfield/routing/reselection.py
@@ -3,20 +3,20 @@
 from typing import Final
 
 from hillfield.model import Target, TargetId
-from hillfield.routing.placing import place
+from hillfield.routing.placement import select_target
 from hillfield.routing.records import RequestRecord
-from hillfield.routing.service import Service
+from hillfield.routing.service import ServiceState
 
 # Gates of other failure domains that a request asks at once, and the seconds
 # after which it asks one more: where all are full the answer is the same.
 # On an overloaded day of 31 hosts 8,300 of 9,500 requests sent across were
 # declined, at 3.4 kB each.
 FAR_AT_ONCE: Final = 3
-FAR_EVERY: Final = 0.1
+FAR_INTERVAL: Final = 0.1
 
 
 def choose_again(
-    service: Service,
+    service: ServiceState,
     now: float,
     record: RequestRecord,
     excluded: tuple[TargetId, ...],
@@ -26,17 +26,18 @@
     Each gate of another failure domain that declines costs the bytes of the
     request across, so after a few they are asked one by one.
     """
-    if _count_far(service, record) >= _find_allowance(now, record):
+    if _count_far(service, record) >= _compute_allowance(now, record):
         return service.choose(now, record.tried[-1:], near=True)
-    return place(service, now, record, excluded)
+    return select_target(service, now, record, excluded)
 
 
-def _count_far(service: Service, record: RequestRecord) -> int:
+def _count_far(service: ServiceState, record: RequestRecord) -> int:
     loads = service.selector.loads
     return sum(
-        target in loads and not loads[target].near for target in record.declined
+        target in loads and not loads[target].near
+        for target in record.declined_by
     )
 
 
-def _find_allowance(now: float, record: RequestRecord) -> int:
-    return FAR_AT_ONCE + int(record.find_spent(now) / FAR_EVERY)
+def _compute_allowance(now: float, record: RequestRecord) -> int:
+    return FAR_AT_ONCE + int(record.compute_elapsed(now) / FAR_INTERVAL)
--- a/hillfield/routing/roomviews.py
+++ b/hillfield/routing/roomviews.py
@@ -3,8 +3,8 @@
 from msgspec import Struct
 
 from hillfield.routing.loads import TargetLoad
-from hillfield.routing.rooms import Room
-from hillfield.routing.service import Service
+from hillfield.routing.capacity import ReportedCapacity
+from hillfield.routing.service import ServiceState
 
 
 class RoomExplanation(Struct, frozen=True):
@@ -27,29 +27,35 @@
     rate: float | None = None
 
 
-def explain_rooms(service: Service, now: float) -> tuple[RoomExplanation, ...]:
+def explain_capacities(
+    service: ServiceState, now: float
+) -> tuple[RoomExplanation, ...]:
     """Return the room of each target whose gate has told of it."""
     service.selector.adopt(service.board.rotation())
-    service.rooms.are_known(now)
+    service.capacities.has_reports(now)
     known = (
-        (load, service.rooms.find(target))
+        (load, service.capacities.find(target))
         for target, load in service.selector.loads.items()
     )
     return tuple(
-        _explain(now, load, room) for load, room in known if room is not None
+        _explain(now, load, capacity)
+        for load, capacity in known
+        if capacity is not None
     )
 
 
-def _explain(now: float, load: TargetLoad, room: Room) -> RoomExplanation:
+def _explain(
+    now: float, load: TargetLoad, capacity: ReportedCapacity
+) -> RoomExplanation:
     target = load.target
     return RoomExplanation(
         str(target.id),
         target.locality.failure_domain,
         target.slots,
         load.in_flight,
-        max(0, room.free),
-        room.waiting,
-        room.held.name.lower(),
-        max(0, now - room.told),
-        room.rate,
+        max(0, capacity.free),
+        capacity.waiting,
+        capacity.withheld.name.lower(),
+        max(0, now - capacity.received_at),
+        capacity.rate,
     )
--- a/hillfield/routing/selection.py
+++ b/hillfield/routing/selection.py
@@ -55,7 +55,7 @@
             load.leave_tier()
         self.loads = kept
         for candidate in rotation.candidates:
-            self._enter(candidate)
+            self._add_candidate(candidate)
         self.capacity = sum(tier.capacity for tier in self._tiers)
 
     def has_other(self, excluded: tuple[TargetId, ...]) -> bool:
@@ -96,14 +96,14 @@
         `near` leaves out those of other failure domains.
         """
         self.pauses.end(now)
-        tiers = self._tiers[:1] if near else self._ordered_tiers()
+        tiers = self._tiers[:1] if near else self._order_tiers()
         for tier in tiers:
             found = self._choose_within(now, tier, excluded)
             if found is not None:
                 return found.target
         return None
 
-    def note_sent(self, target: TargetId) -> None:
+    def record_sent(self, target: TargetId) -> None:
         """Count a request in flight."""
         load = self.loads[target]
         load.in_flight += 1
@@ -111,7 +111,7 @@
             load.tier.busy += 1
             load.tier.update(load)
 
-    def note_ended(
+    def record_ended(
         self,
         now: float,
         target: TargetId,
@@ -128,7 +128,7 @@
             return
         load.in_flight -= 1
         if seconds is not None and not failed:
-            load.widen()
+            load.grow_window()
             load.pauses = 0
         if load.tier is not None:
             load.tier.busy -= 1
@@ -152,7 +152,7 @@
         if load is not None:
             self.pauses.begin(now, load, self.latency.mean)
 
-    def _enter(self, candidate: Candidate) -> None:
+    def _add_candidate(self, candidate: Candidate) -> None:
         target = candidate.target
         if target.state is TargetState.DRAINING:
             return
@@ -167,12 +167,12 @@
         tier = self._tiers[rank]
         load.tier = tier
         tier.capacity += load.limit
-        tier.busy += load.in_flight + load.hint
+        tier.busy += load.in_flight + load.reported_load
         if load.paused:
             tier.busy += load.limit
         tier.update(load)
 
-    def _ordered_tiers(self) -> list[Tier]:
+    def _order_tiers(self) -> list[Tier]:
         tiers = [tier for tier in self._tiers if tier.free]
         for tier in tiers:
             if tier.load() < SPILL_LOAD:
@@ -195,9 +195,13 @@
         if first.watched or second.watched:
             # A suspected target is not left alone for its latency: what
             # nobody asks can neither be convicted nor cleared.
-            return second if second.fill() < first.fill() else first
+            return (
+                second if second.utilization() < first.utilization() else first
+            )
         mean = self.latency.mean
-        better = second.score(now, mean) < first.score(now, mean)
+        better = second.expected_cost(now, mean) < first.expected_cost(
+            now, mean
+        )
         return second if better else first
 
 
--- a/hillfield/routing/service.py
+++ b/hillfield/routing/service.py
@@ -17,19 +17,19 @@
 )
 from hillfield.routing.budgets import RateLimiter, RetryBudget
 from hillfield.routing.durations import Durations
-from hillfield.routing.pace import Pace
+from hillfield.routing.departures import DepartureIntervals
 from hillfield.routing.phases import RequestTrigger
 from hillfield.routing.queues import FairQueue
 from hillfield.routing.records import Ledger, RequestRecord
-from hillfield.routing.reluctance import Reluctance
-from hillfield.routing.remembering import Notices
+from hillfield.routing.recentdeclines import RecentDeclines
+from hillfield.routing.notices import ReceivedNotices
 from hillfield.routing.requests import Refuse, Send
-from hillfield.routing.rooms import Rooms
+from hillfield.routing.capacity import CapacityTable
 from hillfield.routing.selection import Selector
-from hillfield.routing.urgency import find_urgency
+from hillfield.routing.urgency import compute_urgency
 
 # A retry is worth a try when it may be quicker than most.
-SHARE_OF_RETRY: Final = 0.5
+RETRY_DEADLINE_SHARE: Final = 0.5
 
 # Standard deviations above the median: nine in ten are answered by then. What
 # is sent later ends as unknown more often than its callers should see.
@@ -50,11 +50,11 @@
 
 
 @dataclass(slots=True)
-class Service:
+class ServiceState:
     """Hold the parts that decide for one service.
 
-    `retries` are requests whose next attempt waits for a slot, `pending`
-    refusals that the next poll hands out, `barren_since` is when no target
+    `waiting_retries` are requests whose next attempt waits for a slot, `pending_refusals`
+    refusals that the next poll hands out, `without_target_since` is when no target
     was first found (None: there are some).
     """
 
@@ -62,29 +62,29 @@
     board: Board
     selector: Selector
     budget: RetryBudget
-    ledger: Ledger = field(default_factory=Ledger)
+    table: Ledger = field(default_factory=Ledger)
     limiter: RateLimiter = field(default_factory=RateLimiter)
     queue: FairQueue = field(default_factory=FairQueue)
-    pace: Pace = field(default_factory=Pace)
-    retries: deque[RequestRecord] = field(default_factory=deque)
-    pending: list[Refuse] = field(default_factory=list)
+    departures: DepartureIntervals = field(default_factory=DepartureIntervals)
+    waiting_retries: deque[RequestRecord] = field(default_factory=deque)
+    pending_refusals: list[Refuse] = field(default_factory=list)
     counters: Counters = field(default_factory=Counters)
-    reluctance: Reluctance = field(default_factory=Reluctance)
+    recent_declines: RecentDeclines = field(default_factory=RecentDeclines)
     durations: Durations = field(default_factory=Durations)
-    rooms: Rooms = field(default_factory=Rooms)
-    notices: Notices = field(default_factory=Notices)
-    scanned: float = 0
-    barren_since: float | None = None
+    capacities: CapacityTable = field(default_factory=CapacityTable)
+    notices: ReceivedNotices = field(default_factory=ReceivedNotices)
+    scanned_at: float = 0
+    without_target_since: float | None = None
 
-    def may_find_target(self, now: float) -> bool:
+    def expects_target(self, now: float) -> bool:
         """Tell whether targets are known, or may soon be."""
         self.selector.adopt(self.board.rotation())
         if self.selector.capacity:
-            self.barren_since = None
+            self.without_target_since = None
             return True
-        if self.barren_since is None:
-            self.barren_since = now
-        return now - self.barren_since < self.policy.patience
+        if self.without_target_since is None:
+            self.without_target_since = now
+        return now - self.without_target_since < self.policy.patience
 
     def choose(
         self,
@@ -100,13 +100,13 @@
         trial, which that gate waits for.
         """
         self.selector.adopt(self.board.rotation())
-        held = () if trial else self.reluctance.list_targets(now)
+        held = () if trial else self.recent_declines.list_targets(now)
         found = self.selector.choose(now, (*excluded, *held), near=near)
         if found is None and held:
             return self.selector.choose(now, excluded, near=near)
         return found
 
-    def list_held(
+    def list_withholding(
         self,
         now: float,
         record: RequestRecord,
@@ -115,62 +115,70 @@
 
         What a gate has told itself goes before what its declines have said.
         """
-        trial = self.is_trial(record)
-        told = self.rooms.list_held(now, record.arrival.plan, trial)
+        trial = self.can_be_trial(record)
+        told = self.capacities.list_withholding(now, record.arrival.plan, trial)
         if trial:
             return told
-        declining = self.reluctance.list_targets(now)
+        declining = self.recent_declines.list_targets(now)
         untold = (
-            target for target in declining if self.rooms.find(target) is None
+            target
+            for target in declining
+            if self.capacities.find(target) is None
         )
         return (*told, *untold)
 
     def send(self, now: float, record: RequestRecord, target: Target) -> Send:
         """Start an attempt."""
-        room = self.rooms.find(target.id)
-        settles = room is not None and room.held is Held.ONCE
-        self.selector.note_sent(target.id)
-        self.rooms.take(target.id)
-        send = self.ledger.start(now, record, target)
+        capacity = self.capacities.find(target.id)
+        allow_suspected = (
+            capacity is not None and capacity.withheld is Held.ONCE
+        )
+        self.selector.record_sent(target.id)
+        self.capacities.record_sent(target.id)
+        send = self.table.start(now, record, target)
         return replace(
             send,
-            trial=self._may_follow(record, record.sent),
-            urgency=find_urgency(now, record, settles),
-            spent=round(record.find_spent(now), MILLISECOND_DIGITS),
+            trial=self._can_retry(record, record.sent),
+            urgency=compute_urgency(now, record, allow_suspected),
+            spent=round(record.compute_elapsed(now), MILLISECOND_DIGITS),
             told=self.notices.find(now, target.id.address),
         )
 
-    def forget(self, request: str) -> None:
+    def cancel(self, request: str) -> None:
         """Drop a request that waits, or a refusal not yet handed out."""
-        self.pending = [
-            refusal for refusal in self.pending if refusal.request != request
+        self.pending_refusals = [
+            refusal
+            for refusal in self.pending_refusals
+            if refusal.request != request
         ]
-        record = self.ledger.requests.get(request)
+        record = self.table.requests.get(request)
         if record is None:
             return
         self.queue.remove(record)
-        if record in self.retries:
-            self.retries.remove(record)
-        self.ledger.end(record, RequestTrigger.LEAVE)
+        if record in self.waiting_retries:
+            self.waiting_retries.remove(record)
+        self.table.end(record, RequestTrigger.LEAVE)
 
-    def waiting(self) -> int:
+    def count_waiting(self) -> int:
         """Return how many requests wait."""
-        return len(self.queue) + len(self.retries)
+        return len(self.queue) + len(self.waiting_retries)
 
-    def expect_wait(self, now: float, position: int) -> float:
+    def estimate_wait(self, now: float, position: int) -> float:
         """Return the seconds until the request at this position is sent."""
         slots = max(1, self.selector.capacity)
-        return self.pace.expect_wait(
+        return self.departures.estimate_wait(
             now,
             position,
             self.selector.latency.mean / slots,
         )
 
-    def need(self, record: RequestRecord) -> float:
+    def estimate_retry(self, record: RequestRecord) -> float:
         """Return the seconds that another attempt takes as a rule."""
-        return record.bound_need(self.find_usual(record), SHARE_OF_RETRY)
+        return record.bound_duration(
+            self.estimate_duration(record), RETRY_DEADLINE_SHARE
+        )
 
-    def find_usual(self, record: RequestRecord) -> float:
+    def estimate_duration(self, record: RequestRecord) -> float:
         """Return the seconds that an attempt of such a request takes.
 
         Calls that take a tenth of what other requests to the service take
@@ -183,22 +191,22 @@
             return self.durations.find(plan).find_quantile(0)
         if self.durations.knows(plan):
             return self.durations.find(plan).find_quantile(LIKELY_DEVIATIONS)
-        return self.latency()
+        return self.bound_latency()
 
-    def latency(self) -> float:
+    def bound_latency(self) -> float:
         """Return the seconds that few attempts exceed."""
         return self.selector.latency.bound()
 
-    def is_trial(self, record: RequestRecord) -> bool:
+    def can_be_trial(self, record: RequestRecord) -> bool:
         """Tell whether the next attempt may try a doubtful target.
 
         Once a gate has declined it, it goes where it is welcome.
         """
-        if record.declined:
+        if record.declined_by:
             return False
-        return self._may_follow(record, record.sent + 1)
+        return self._can_retry(record, record.sent + 1)
 
-    def _may_follow(self, record: RequestRecord, sent: int) -> bool:
+    def _can_retry(self, record: RequestRecord, sent: int) -> bool:
         """Tell whether one more attempt may follow so many if they fail."""
         plan = record.arrival.plan
         if not (plan.idempotent and record.arrival.replayable):
@@ -212,7 +220,7 @@
     locality: Locality,
     board: Board,
     random: Random,
-) -> Service:
+) -> ServiceState:
     """Return an empty service."""
     selector = Selector(locality, random)
-    return Service(policy, board, selector, RetryBudget(policy))
+    return ServiceState(policy, board, selector, RetryBudget(policy))
--- a/hillfield/routing/subsets.py
+++ b/hillfield/routing/subsets.py
@@ -15,7 +15,7 @@
 # third of 16 sick and one lost leave 30 slots of three a target for the one or
 # two requests that a node has under way. Without it 35 near targets among 178
 # gave a node six, and the rest of its requests crossed failure domains.
-LOCAL_PART: Final = 0.5
+LOCAL_SHARE: Final = 0.5
 # Nodes per target scatter as a binomial count; three deviations leave room.
 DEVIATIONS: Final = 3
 
@@ -33,18 +33,18 @@
     are kept, so that their state is known; they take no place.
     """
     live = tuple(target for target in targets if _is_live(target))
-    size = find_subset_size(live, nodes)
+    size = compute_subset_size(live, nodes)
     if size >= len(live):
         return targets
     ranked = sorted(live, key=_Rank(locality.host))
-    near = _take_near(ranked, locality, size)
+    near = _select_near(ranked, locality, size)
     rest = (target for target in ranked if target not in near)
     others = tuple(islice(rest, size - len(near)))
     leaving = tuple(target for target in targets if not _is_live(target))
     return near + others + leaving
 
 
-def _take_near(
+def _select_near(
     ranked: list[Target],
     locality: Locality,
     size: int,
@@ -52,11 +52,11 @@
     """Return the first of the own failure domain."""
     here = locality.failure_domain
     near = (one for one in ranked if one.locality.failure_domain == here)
-    most = max(LOCAL_TARGETS, int(LOCAL_PART * size))
+    most = max(LOCAL_TARGETS, int(LOCAL_SHARE * size))
     return tuple(islice(near, min(size - 1, most)))
 
 
-def find_subset_size(targets: tuple[Target, ...], nodes: int) -> int:
+def compute_subset_size(targets: tuple[Target, ...], nodes: int) -> int:
     """Return how many targets each node may use.
 
     Small services are used whole, unless that many nodes would exceed the
@@ -67,24 +67,28 @@
         return 0
     size = min(count, LARGEST_SUBSET)
     limit = min(target.connection_limit for target in targets)
-    while size > SMALLEST_SUBSET and _users(nodes, size, count) > limit:
+    while (
+        size > SMALLEST_SUBSET and _estimate_users(nodes, size, count) > limit
+    ):
         size -= 1
     return min(size, count)
 
 
-def allow_connections(target: Target, nodes: int, size: int, count: int) -> int:
+def compute_connection_share(
+    target: Target, nodes: int, size: int, count: int
+) -> int:
     """Return how many connections one node may open to the target.
 
     >>> from hillfield.model import Address, Locality, TargetId
     >>> target = Target(
     ...     TargetId('settlement', Address('127.0.0.1', 80), 1),
     ...     Locality('north', 'a', 'h1'), slots=4, connection_limit=300)
-    >>> allow_connections(target, nodes=21, size=6, count=6)
+    >>> compute_connection_share(target, nodes=21, size=6, count=6)
     14
-    >>> allow_connections(target, nodes=600, size=8, count=30)
+    >>> compute_connection_share(target, nodes=600, size=8, count=30)
     1
     """
-    users = max(1, _users(nodes, size, count))
+    users = max(1, _estimate_users(nodes, size, count))
     return max(1, target.connection_limit // users)
 
 
@@ -92,7 +96,7 @@
     return target.state != 'draining'
 
 
-def _users(nodes: int, size: int, count: int) -> int:
+def _estimate_users(nodes: int, size: int, count: int) -> int:
     if size >= count:
         return nodes
     mean = nodes * size / count
--- a/hillfield/routing/table.py
+++ b/hillfield/routing/table.py
@@ -13,7 +13,7 @@
 from hillfield.routing.explanations import RoutingExplanation
 from hillfield.routing.requests import Verdict
 
-FEWER_AFTER: Final = 7200.0
+FEWER_NODES_DELAY: Final = 7200.0
 BoardFactory = Callable[[ServicePolicy, Locality], Board]
 DispatcherFactory = Callable[
     [ServicePolicy, Locality, Board, Random],
@@ -21,7 +21,7 @@
 ]
 
 QUIET_AFTER: Final = 30.0
-QUIET_TURNS: Final = 10
+QUIET_TICKS: Final = 10
 
 
 class DispatcherTable:
@@ -44,16 +44,16 @@
         self._random = random
         self._nodes = 1
         self._dispatchers: dict[str, Dispatcher] = {}
-        self._asked: set[str] = set()
+        self._recently_asked: set[str] = set()
         self._used: dict[str, float] = {}
-        self._turn = 0
+        self._tick_number = 0
         self._targets: dict[str, tuple[Target, ...]] = {}
-        self._told: dict[str, frozenset[str]] = {}
-        self._counted: float = 0
+        self._reported_services: dict[str, frozenset[str]] = {}
+        self._node_count_updated: float = 0
 
     def for_service(self, service: str) -> Dispatcher:
         """Return the dispatcher; it refuses where no target is known."""
-        self._asked.add(service)
+        self._recently_asked.add(service)
         found = self._dispatchers.get(service)
         if found is None:
             policy = ServicePolicy(service)
@@ -89,9 +89,12 @@
         an hour now and then.
         """
         if nodes >= self._nodes:
-            self._counted = now
+            self._node_count_updated = now
         # Nodes that a partition hides still hold their connections.
-        hidden = nodes < self._nodes and now - self._counted < FEWER_AFTER
+        hidden = (
+            nodes < self._nodes
+            and now - self._node_count_updated < FEWER_NODES_DELAY
+        )
         if hidden or nodes == self._nodes:
             return
         self._nodes = max(1, nodes)
@@ -119,17 +122,19 @@
     ) -> None:
         """Take all that another node tells, in place of what it told."""
         by_service: dict[str, list[Evidence]] = {
-            service: [] for service in self._told.get(node, ())
+            service: [] for service in self._reported_services.get(node, ())
         }
         for entry in evidence:
             by_service.setdefault(entry.target.service, []).append(entry)
-        self._told[node] = frozenset(piece.target.service for piece in evidence)
+        self._reported_services[node] = frozenset(
+            piece.target.service for piece in evidence
+        )
         if not evidence:
-            self._told.pop(node)
-        for service, told in by_service.items():
+            self._reported_services.pop(node)
+        for service, pieces in by_service.items():
             if service in self._dispatchers:
                 board = self.for_service(service).board
-                board.adopt_evidence(now, node, domain, tuple(told))
+                board.adopt_evidence(now, node, domain, tuple(pieces))
 
     def tick(self, now: float) -> tuple[Occurrence, ...]:
         """Return what has changed since the last tick; call each 0.1 s.
@@ -137,16 +142,16 @@
         Idle services that have not been used for a while take turns, so
         that each of them is ticked about once a second.
         """
-        self._used.update(dict.fromkeys(self._asked, now))
-        self._asked.clear()
-        self._turn = (self._turn + 1) % QUIET_TURNS
+        self._used.update(dict.fromkeys(self._recently_asked, now))
+        self._recently_asked.clear()
+        self._tick_number = (self._tick_number + 1) % QUIET_TICKS
         return tuple(
             chain.from_iterable(
                 dispatcher.tick(now)
                 for number, (service, dispatcher) in enumerate(
                     self._dispatchers.items(),
                 )
-                if number % QUIET_TURNS == self._turn
+                if number % QUIET_TICKS == self._tick_number
                 or now - self._used[service] < QUIET_AFTER
                 or not dispatcher.is_idle()
             ),
--- a/hillfield/routing/tests/test_declining.py
+++ b/hillfield/routing/tests/test_declining.py
@@ -16,13 +16,13 @@
 )
 from hillfield.routing import Dispatcher
 from hillfield.routing.declining import Declined
-from hillfield.routing.reluctance import REMEMBERED
+from hillfield.routing.recentdeclines import DECLINE_LIFETIME
 from hillfield.routing.requests import Answered, Arrival, Refuse, Send, Wait
-from hillfield.routing.reselection import FAR_AT_ONCE, FAR_EVERY
+from hillfield.routing.reselection import FAR_AT_ONCE, FAR_INTERVAL
 from hillfield.routing.urgency import (
-    INSISTS_AFTER,
-    INSISTS_LATEST,
-    PRESSES_LATEST,
+    QUARANTINED_DECLINES,
+    QUARANTINED_SECONDS,
+    ANY_SECONDS,
 )
 
 HERE = Locality('r', 'a', 'h')
@@ -53,9 +53,9 @@
     return Arrival(name, plan, now + 5, True)
 
 
-def decline(dispatcher, verdict, now=0):
-    dispatcher.note_written(now, verdict.attempt)
-    return dispatcher.finish(now, verdict.attempt, Declined('full'))
+def decline(dispatcher, decision, now=0):
+    dispatcher.note_written(now, decision.attempt)
+    return dispatcher.finish(now, decision.attempt, Declined('full'))
 
 
 def test_declines_use_up_no_budget_of_repeats():
@@ -73,33 +73,33 @@
 
 def test_a_request_asks_each_gate_once_before_any_twice():
     dispatcher = make_dispatcher(4)
-    verdict = dispatcher.admit(0, arrive('r'))
+    decision = dispatcher.admit(0, arrive('r'))
     asked = []
-    while isinstance(verdict, Send):
-        asked.append(verdict.target)
-        verdict = decline(dispatcher, verdict)
+    while isinstance(decision, Send):
+        asked.append(decision.target)
+        decision = decline(dispatcher, decision)
     assert len(set(asked)) == len(asked) == 4
-    assert isinstance(verdict, Wait)
+    assert isinstance(decision, Wait)
 
 
 def insists_when(idempotent, now):
     dispatcher = make_dispatcher()
-    verdict = dispatcher.admit(0, arrive('r', idempotent))
-    for _ in range(INSISTS_AFTER):
-        assert verdict.urgency < Urgency.INSISTS
-        verdict = decline(dispatcher, verdict)
-    assert verdict.urgency < Urgency.INSISTS
-    return decline(dispatcher, verdict, now)
+    decision = dispatcher.admit(0, arrive('r', idempotent))
+    for _ in range(QUARANTINED_DECLINES):
+        assert decision.urgency < Urgency.INSISTS
+        decision = decline(dispatcher, decision)
+    assert decision.urgency < Urgency.INSISTS
+    return decline(dispatcher, decision, now)
 
 
 def test_a_request_that_many_gates_declined_insists_after_a_while():
     for idempotent in (True, False):
-        insisting = insists_when(idempotent, INSISTS_LATEST)
+        insisting = insists_when(idempotent, QUARANTINED_SECONDS)
         assert insisting.urgency is Urgency.INSISTS
 
 
 def test_a_request_that_gates_decline_for_long_presses():
-    pressing = insists_when(False, PRESSES_LATEST)
+    pressing = insists_when(False, ANY_SECONDS)
     assert pressing.urgency is Urgency.PRESSES
 
 
@@ -120,17 +120,17 @@
 
 def test_a_request_that_all_decline_ends_as_not_run():
     dispatcher = make_dispatcher(2)
-    verdict = dispatcher.admit(0, arrive('r'))
+    decision = dispatcher.admit(0, arrive('r'))
     now = float()
-    while not isinstance(verdict, Refuse):
-        if isinstance(verdict, Send):
-            verdict = decline(dispatcher, verdict, now)
+    while not isinstance(decision, Refuse):
+        if isinstance(decision, Send):
+            decision = decline(dispatcher, decision, now)
         else:
             now += 0.05
             polled = dispatcher.poll(now)
-            verdict = polled[0] if polled else verdict
+            decision = polled[0] if polled else decision
         assert now < 5
-    assert verdict.failure.status == 503
+    assert decision.failure.status == 503
 
 
 def test_requests_wait_a_moment_for_the_first_target():
@@ -140,7 +140,7 @@
     assert isinstance(dispatcher.admit(0, arrive('r')), Wait)
     assert not dispatcher.poll(0.5)
     dispatcher.adopt_targets(0.6, make_targets(1))
-    assert [verdict.request for verdict in dispatcher.poll(0.7)] == ['r']
+    assert [decision.request for decision in dispatcher.poll(0.7)] == ['r']
 
 
 def test_requests_wait_no_longer_than_that():
@@ -148,19 +148,19 @@
     dispatcher = Dispatcher(patient, HERE, PathBoard(patient, HERE), Random(1))
     dispatcher.admit(0, arrive('r'))
     refused = dispatcher.poll(1.1)
-    assert [type(verdict) for verdict in refused] == [Refuse]
+    assert [type(decision) for decision in refused] == [Refuse]
     assert isinstance(dispatcher.admit(1.2, arrive('s')), Refuse)
 
 
-def hold_back(dispatcher, verdict, now=0):
-    dispatcher.note_written(now, verdict.attempt)
+def hold_back(dispatcher, decision, now=0):
+    dispatcher.note_written(now, decision.attempt)
     declined = Declined('shunned', lasting=True)
-    return dispatcher.finish(now, verdict.attempt, declined)
+    return dispatcher.finish(now, decision.attempt, declined)
 
 
-def settle(dispatcher, verdict, now):
-    dispatcher.note_written(now, verdict.attempt)
-    dispatcher.finish(now, verdict.attempt, Answered(200))
+def settle(dispatcher, decision, now):
+    dispatcher.note_written(now, decision.attempt)
+    dispatcher.finish(now, decision.attempt, Answered(200))
 
 
 def make_shunned(count):
@@ -195,7 +195,7 @@
 
 def test_a_gate_that_held_work_back_is_asked_again_later():
     dispatcher, shunned = make_shunned(2)
-    assert shunned in list_asked(dispatcher, REMEMBERED)
+    assert shunned in list_asked(dispatcher, DECLINE_LIFETIME)
 
 
 def test_trials_go_to_a_gate_that_holds_work_back():
@@ -211,10 +211,10 @@
 
 def test_where_all_gates_hold_work_back_they_are_asked_all_the_same():
     dispatcher = make_dispatcher(3)
-    verdict = dispatcher.admit(0, arrive('first'))
+    decision = dispatcher.admit(0, arrive('first'))
     for _ in range(2):
-        verdict = hold_back(dispatcher, verdict)
-    hold_back(dispatcher, verdict)
+        decision = hold_back(dispatcher, decision)
+    hold_back(dispatcher, decision)
     dispatcher.leave(0, 'first')
     assert isinstance(dispatcher.admit(1, arrive('next', now=1)), Send)
 
@@ -227,20 +227,20 @@
     )
     dispatcher = make_dispatcher()
     dispatcher.adopt_targets(0, far)
-    verdict = dispatcher.admit(0, arrive('r'))
+    decision = dispatcher.admit(0, arrive('r'))
     asked = 0
-    while isinstance(verdict, Send):
+    while isinstance(decision, Send):
         asked += 1
-        verdict = decline(dispatcher, verdict)
+        decision = decline(dispatcher, decision)
     assert asked == FAR_AT_ONCE
-    assert isinstance(verdict, Wait)
-    assert not dispatcher.poll(FAR_EVERY / 2)
-    assert isinstance(dispatcher.poll(1.1 * FAR_EVERY)[0], Send)
+    assert isinstance(decision, Wait)
+    assert not dispatcher.poll(FAR_INTERVAL / 2)
+    assert isinstance(dispatcher.poll(1.1 * FAR_INTERVAL)[0], Send)
 
 
 def test_gates_of_the_own_domain_are_asked_on():
     dispatcher = make_dispatcher()
-    verdict = dispatcher.admit(0, arrive('r'))
+    decision = dispatcher.admit(0, arrive('r'))
     for _ in range(2 * FAR_AT_ONCE):
-        verdict = decline(dispatcher, verdict)
-        assert isinstance(verdict, Send)
+        decision = decline(dispatcher, decision)
+        assert isinstance(decision, Send)
--- a/hillfield/routing/tests/test_dispatcher.py
+++ b/hillfield/routing/tests/test_dispatcher.py
@@ -80,10 +80,10 @@
 
 
 def test_service_without_target_is_refused_as_not_run():
-    verdict = make_dispatcher(0).admit(0, make_arrival('a'))
-    assert verdict.failure.status == 503
-    assert verdict.failure.outcome is Outcome.NOT_RUN
-    assert verdict.failure.retry_after
+    decision = make_dispatcher(0).admit(0, make_arrival('a'))
+    assert decision.failure.status == 503
+    assert decision.failure.outcome is Outcome.NOT_RUN
+    assert decision.failure.retry_after
 
 
 def test_answer_ends_the_request(pair):
@@ -252,11 +252,11 @@
 def test_slots_bound_the_requests_in_flight():
     dispatcher = make_dispatcher(2, slots=3)
     arrivals = [make_arrival(f'r{place}') for place in range(7)]
-    verdicts = [dispatcher.admit(0, arrival) for arrival in arrivals]
-    kinds = [type(verdict) for verdict in verdicts]
+    decisions = [dispatcher.admit(0, arrival) for arrival in arrivals]
+    kinds = [type(decision) for decision in decisions]
     assert kinds[:6] == [Send for _ in range(6)]
-    assert verdicts[-1] == Wait('r6')
-    dispatcher.finish(0.1, verdicts[0].attempt, Answered(200))
+    assert decisions[-1] == Wait('r6')
+    dispatcher.finish(0.1, decisions[0].attempt, Answered(200))
     assert dispatcher.poll(0.1)[0].request == 'r6'
 
 
@@ -296,7 +296,7 @@
     dispatcher.admit(0, make_arrival('a'))
     dispatcher.admit(0, make_arrival('b', account='other'))
     waits = [dispatcher.admit(0, make_arrival(name)) for name in 'cde']
-    assert [type(verdict) for verdict in waits] == [Wait, Wait, Refuse]
+    assert [type(decision) for decision in waits] == [Wait, Wait, Refuse]
     assert waits[-1].failure.status == 429
 
 
@@ -315,9 +315,9 @@
 def test_account_rate_is_refused_with_the_time_to_come_back():
     dispatcher = make_dispatcher(2, account_rate=2)
     arrivals = [make_arrival(name) for name in 'abc']
-    verdicts = [dispatcher.admit(0, arrival) for arrival in arrivals]
-    assert verdicts[-1].failure.status == 429
-    assert verdicts[-1].failure.retry_after * 2 == 1
+    decisions = [dispatcher.admit(0, arrival) for arrival in arrivals]
+    assert decisions[-1].failure.status == 429
+    assert decisions[-1].failure.retry_after * 2 == 1
     assert isinstance(dispatcher.admit(0.5, make_arrival('d')), Send)
 
 
@@ -365,12 +365,12 @@
     sends = 0
     for number in range(1000):
         now = number / 100
-        verdict = dispatcher.admit(now, make_arrival(f'{number}', now=now))
-        while isinstance(verdict, Send):
+        decision = dispatcher.admit(now, make_arrival(f'{number}', now=now))
+        while isinstance(decision, Send):
             sends += 1
-            dispatcher.note_written(now, verdict.attempt)
-            verdict = dispatcher.finish(now, verdict.attempt, Broken(''))
-        assert isinstance(verdict, Refuse)
+            dispatcher.note_written(now, decision.attempt)
+            decision = dispatcher.finish(now, decision.attempt, Broken(''))
+        assert isinstance(decision, Refuse)
     assert sends <= 1010
 
 
--- a/hillfield/routing/tests/test_fuzz.py
+++ b/hillfield/routing/tests/test_fuzz.py
@@ -310,23 +310,23 @@
             attempt = trial.send.attempt
             self.dispatcher.note_written(self.now, attempt)
             self.dispatcher.note_head(self.now, attempt)
-            verdict = self.dispatcher.finish(self.now, attempt, observation)
-            assert verdict == Done('')
+            decision = self.dispatcher.finish(self.now, attempt, observation)
+            assert decision == Done('')
 
     def finish(self, trial: Trial, observation: Observation) -> None:
         trial.ended = True
         request = trial.send.request
         attempt = trial.send.attempt
         self.fresh.discard(trial.send.target)
-        verdict = self.dispatcher.finish(self.now, attempt, observation)
-        assert verdict.request == request
+        decision = self.dispatcher.finish(self.now, attempt, observation)
+        assert decision.request == request
         if request in self.oracle.told:
-            assert isinstance(verdict, Done)
+            assert isinstance(decision, Done)
             return
-        if isinstance(verdict, Done):
+        if isinstance(decision, Done):
             assert observation == Answered(200) or observation in RELAYED
-        self.accept(verdict, request)
-        if isinstance(verdict, Done):
+        self.accept(decision, request)
+        if isinstance(decision, Done):
             for other in self.oracle.of(request):
                 if not other.ended:
                     self.finish(other, CallerGone())
@@ -362,23 +362,23 @@
 
     def tick(self) -> None:
         self.dispatcher.tick(self.now)
-        for verdict in self.dispatcher.poll(self.now):
-            self.accept(verdict, verdict.request)
+        for decision in self.dispatcher.poll(self.now):
+            self.accept(decision, decision.request)
 
     # What must hold.
 
-    def accept(self, verdict: Any, request: str) -> None:
-        assert verdict.request == request
+    def accept(self, decision: Any, request: str) -> None:
+        assert decision.request == request
         assert request in self.oracle.arrivals
         assert request not in self.oracle.told
         assert request not in self.oracle.gone
-        if isinstance(verdict, Send):
-            self.accept_send(verdict)
-        elif isinstance(verdict, Refuse):
-            self.accept_refusal(verdict)
-            self.oracle.told[request] = verdict
-        elif isinstance(verdict, Done):
-            self.oracle.told[request] = verdict
+        if isinstance(decision, Send):
+            self.accept_send(decision)
+        elif isinstance(decision, Refuse):
+            self.accept_refusal(decision)
+            self.oracle.told[request] = decision
+        elif isinstance(decision, Done):
+            self.oracle.told[request] = decision
 
     def accept_send(self, send: Send) -> None:
         arrival = self.oracle.arrivals[send.request]
@@ -501,12 +501,12 @@
         attempt: int,
         observation: Observation,
     ) -> Any:
-        verdict = super().finish(now, attempt, observation)
-        if isinstance(verdict, Done) and verdict.request:
-            swapped = self.previous or verdict.request
-            self.previous = verdict.request
+        decision = super().finish(now, attempt, observation)
+        if isinstance(decision, Done) and decision.request:
+            swapped = self.previous or decision.request
+            self.previous = decision.request
             return Done(swapped)
-        return verdict
+        return decision
 
 
 class DrainlessDispatcher(Dispatcher):
--- a/hillfield/routing/tests/test_hedging.py
+++ b/hillfield/routing/tests/test_hedging.py
@@ -16,7 +16,7 @@
 )
 from hillfield.routing import Dispatcher
 from hillfield.routing.declining import Declined
-from hillfield.routing.hedging import LATEST_PART, SOONEST_PART
+from hillfield.routing.hedging import LATEST_AIM_SHARE, EARLIEST_AIM_SHARE
 from hillfield.routing.requests import (
     Answered,
     Arrival,
@@ -82,7 +82,11 @@
         for number in range(60):
             answer(dispatcher, f'r{number}', 2 * number, seconds)
         delay = dispatcher.find_hedge_delay(CALL)
-        assert SOONEST_PART * CALL.aim <= delay <= LATEST_PART * CALL.aim
+        assert (
+            EARLIEST_AIM_SHARE * CALL.aim
+            <= delay
+            <= LATEST_AIM_SHARE * CALL.aim
+        )
 
 
 def test_work_that_runs_once_and_work_without_an_aim_has_no_delay():
@@ -139,7 +143,7 @@
         name = f'r{number}'
         send(dispatcher, name, now)
         hedged += dispatcher.hedge(now + 0.05, name) is not None
-        for attempt in tuple(dispatcher._service.ledger.attempts):
+        for attempt in tuple(dispatcher._service.table.attempts):
             dispatcher.finish(now + 0.06, attempt, CallerGone())
     return hedged
 
@@ -163,8 +167,8 @@
         send(dispatcher, f'r{number}', now)
         if number % 4 == 0:
             hedged += dispatcher.hedge(now + 0.2, f'r{number}') is not None
-        attempt = next(iter(dispatcher._service.ledger.attempts))
+        attempt = next(iter(dispatcher._service.table.attempts))
         dispatcher.finish(now + 0.3, attempt, Answered(200))
-        for late in tuple(dispatcher._service.ledger.attempts):
+        for late in tuple(dispatcher._service.table.attempts):
             dispatcher.finish(now + 0.3, late, CallerGone())
     assert hedged == 8
--- a/hillfield/routing/tests/test_placing.py
+++ b/hillfield/routing/tests/test_placement.py
@@ -18,7 +18,7 @@
 )
 from hillfield.routing import Dispatcher
 from hillfield.routing.requests import Answered, Arrival, Send
-from hillfield.routing.rooms import BELIEVED, Rooms
+from hillfield.routing.capacity import REPORT_LIFETIME, CapacityTable
 
 HERE = Locality('r', 'a', 'h')
 THERE = Locality('r', 'b', 'h')
@@ -164,42 +164,42 @@
 
 
 def test_a_late_report_changes_nothing():
-    rooms = Rooms()
+    capacities = CapacityTable()
     address = identify(0).address
     newer = LoadReport('s', address.ip, address.port, 1, 9, 0)
     older = LoadReport('s', address.ip, address.port, 1, 8, 5)
-    rooms.note(0, newer)
-    rooms.note(0, older)
-    assert rooms.list_full(0) == (identify(0),)
+    capacities.record_report(0, newer)
+    capacities.record_report(0, older)
+    assert capacities.list_full(0) == (identify(0),)
 
 
 def test_old_reports_are_not_believed():
-    rooms = Rooms()
+    capacities = CapacityTable()
     address = identify(0).address
     report = LoadReport('s', address.ip, address.port, 1, 1, 0)
-    rooms.note(0, report)
-    assert rooms.are_known(BELIEVED)
-    assert not rooms.are_known(BELIEVED + 0.1)
-    assert not rooms.list_full(BELIEVED + 0.1)
+    capacities.record_report(0, report)
+    assert capacities.has_reports(REPORT_LIFETIME)
+    assert not capacities.has_reports(REPORT_LIFETIME + 0.1)
+    assert not capacities.list_full(REPORT_LIFETIME + 0.1)
 
 
 def test_what_has_ended_gives_its_room_back():
     """Reports are rare where many nodes listen, requests aren't."""
-    rooms = Rooms()
+    capacities = CapacityTable()
     report = LoadReport('s', '10.0.0.1', 80, 1, 1, 1)
-    rooms.note(0, report)
-    rooms.take(report.target)
-    assert rooms.list_full(0) == (report.target,)
-    rooms.give_back(report.target)
-    assert not rooms.list_full(0)
+    capacities.record_report(0, report)
+    capacities.record_sent(report.target)
+    assert capacities.list_full(0) == (report.target,)
+    capacities.record_ended(report.target)
+    assert not capacities.list_full(0)
 
 
 def test_what_a_newer_report_counts_is_not_given_back():
-    rooms = Rooms()
+    capacities = CapacityTable()
     report = LoadReport('s', '10.0.0.1', 80, 1, 1, 1)
-    rooms.note(0, report)
-    rooms.take(report.target)
+    capacities.record_report(0, report)
+    capacities.record_sent(report.target)
     newer = replace(report, number=2, free=0)
-    rooms.note(0, newer)
-    rooms.give_back(report.target)
-    assert rooms.list_full(0) == (report.target,)
+    capacities.record_report(0, newer)
+    capacities.record_ended(report.target)
+    assert capacities.list_full(0) == (report.target,)
--- a/hillfield/routing/tests/test_scarcity.py
+++ b/hillfield/routing/tests/test_ratelimits.py
@@ -76,11 +76,11 @@
 
 
 def test_what_no_target_takes_in_time_is_refused_at_once(service):
-    verdict = service.ask()
-    assert isinstance(verdict, Refuse)
-    assert verdict.failure.event == EventCode.SERVICE_LIMITED
-    assert verdict.failure.outcome is Outcome.NOT_RUN
-    returns = verdict.failure.retry_after or 0
+    decision = service.ask()
+    assert isinstance(decision, Refuse)
+    assert decision.failure.event == EventCode.SERVICE_LIMITED
+    assert decision.failure.outcome is Outcome.NOT_RUN
+    returns = decision.failure.retry_after or 0
     assert 2 <= returns <= 4
 
 
@@ -93,9 +93,9 @@
 
 def test_one_target_with_a_turn_left_takes_it(service):
     service.tell(TARGETS[1], 1, 0)
-    verdict = service.ask()
-    assert isinstance(verdict, Send)
-    assert verdict.target == TARGETS[1]
+    decision = service.ask()
+    assert isinstance(decision, Send)
+    assert decision.target == TARGETS[1]
 
 
 def test_one_target_that_names_no_limit_is_waited_for(service):
@@ -120,8 +120,8 @@
     sent = service.ask()
     for target in TARGETS:
         service.tell(target, 0, 2.0)
-    verdict = service.dispatcher.finish(0.01, sent.attempt, Declined('late'))
-    assert isinstance(verdict, Refuse)
+    decision = service.dispatcher.finish(0.01, sent.attempt, Declined('late'))
+    assert isinstance(decision, Refuse)
 
 
 def test_the_end_of_a_request_brings_no_turn_back():
@@ -132,8 +132,8 @@
     sent = service.ask()
     service.dispatcher.note_written(0, sent.attempt)
     service.dispatcher.finish(0.1, sent.attempt, Answered(200))
-    rooms = service.dispatcher.explain(0.1).rooms
-    assert {room.free for room in rooms} == {0}
+    capacities = service.dispatcher.explain(0.1).rooms
+    assert {room.free for room in capacities} == {0}
 
 
 def test_a_node_that_is_told_nothing_more_asks_again(service):
--- a/hillfield/routing/tests/test_selection.py
+++ b/hillfield/routing/tests/test_selection.py
@@ -46,8 +46,8 @@
 
 
 def answer(selector, target, seconds):
-    selector.note_sent(target.id)
-    selector.note_ended(1, target.id, seconds, failed=False)
+    selector.record_sent(target.id)
+    selector.record_ended(1, target.id, seconds, failed=False)
 
 
 def count_choices(watched):
--- a/hillfield/routing/tests/test_subsets.py
+++ b/hillfield/routing/tests/test_subsets.py
@@ -11,9 +11,9 @@
 from hillfield.model import Locality, TargetState
 from hillfield.routing.bench import CONNECTION_LIMIT, make_targets
 from hillfield.routing.subsets import (
-    allow_connections,
+    compute_connection_share,
     choose_subset,
-    find_subset_size,
+    compute_subset_size,
 )
 
 
@@ -37,8 +37,8 @@
     users: Counter[object] = Counter()
     for node in range(600):
         users.update(choose_subset(targets, locate(node), 600))
-    size = find_subset_size(targets, 600)
-    allowed = allow_connections(targets[0], 600, size, count)
+    size = compute_subset_size(targets, 600)
+    allowed = compute_connection_share(targets[0], 600, size, count)
     assert len(users) == count
     assert max(users.values()) * allowed <= CONNECTION_LIMIT
 
--- a/hillfield/routing/tests/test_table.py
+++ b/hillfield/routing/tests/test_table.py
@@ -70,8 +70,8 @@
 @mark.parametrize(('board', 'dispatcher'), KINDS)
 def test_service_is_known_before_its_policy_and_targets(board, dispatcher):
     table = make_table(board, dispatcher)
-    verdict = table.for_service('claims').admit(0, make_arrival('a'))
-    assert verdict.failure.outcome is Outcome.NOT_RUN
+    decision = table.for_service('claims').admit(0, make_arrival('a'))
+    assert decision.failure.outcome is Outcome.NOT_RUN
     table.adopt_targets(1, 'claims', make_targets(2))
     table.adopt_policy(1, ServicePolicy('claims', floor=0.9))
     send = table.for_service('claims').admit(1, make_arrival('b'))
@@ -86,8 +86,8 @@
     found = table.for_service('claims')
     send = found.admit(0, make_arrival('a', idempotent=False))
     found.note_written(0, send.attempt)
-    verdict = found.finish(0.1, send.attempt, Broken('reset'))
-    assert verdict.failure.outcome is Outcome.UNKNOWN
+    decision = found.finish(0.1, send.attempt, Broken('reset'))
+    assert decision.failure.outcome is Outcome.UNKNOWN
 
 
 def test_poll_tick_and_explain_cover_all_services():
@@ -98,7 +98,7 @@
     assert found.admit(0, make_arrival('b')) == Wait('b')
     assert [seen.code.name for seen in table.tick(0.1)] == ['OVERLOAD_STARTED']
     assert found.finish(0.1, send.attempt, Answered(200)) == Done('a')
-    assert [verdict.request for verdict in table.poll(0.1)] == ['b']
+    assert [decision.request for decision in table.poll(0.1)] == ['b']
     assert [seen.code.name for seen in table.tick(0.2)] == ['OVERLOAD_ENDED']
     explanation = table.explain(0.2, 'claims')
     assert (explanation.admitted, explanation.sent) == (2, 2)
--- a/hillfield/routing/tests/test_patience.py
+++ b/hillfield/routing/tests/test_waiting.py
@@ -18,7 +18,7 @@
     TargetId,
 )
 from hillfield.routing import Dispatcher
-from hillfield.routing.patience import STALE_AFTER
+from hillfield.routing.waiting import STALE_AIM_FACTOR
 from hillfield.routing.requests import Answered, Arrival, Refuse, Send, Wait
 
 HERE = Locality('r', 'a', 'h')
@@ -59,17 +59,17 @@
     dispatcher.note_written(AFTER_CROWD, running[0].attempt)
     dispatcher.finish(AFTER_CROWD + 0.1, running[0].attempt, Answered(200))
     served = dispatcher.poll(AFTER_CROWD + 0.1)
-    assert [verdict.request for verdict in served] == ['call']
+    assert [decision.request for decision in served] == ['call']
 
 
 def test_a_wait_in_vain_ends_long_before_the_deadline(crowded):
     """Requests were told 503 at 5.2 s, untried, of 1.5 s that count."""
     dispatcher = crowded[0]
     send(dispatcher, 'long', AFTER_CROWD)
-    over = AFTER_CROWD + STALE_AFTER * LONG.aim
+    over = AFTER_CROWD + STALE_AIM_FACTOR * LONG.aim
     assert not dispatcher.poll(AFTER_CROWD + 1)
     refused = dispatcher.poll(over)
-    assert [type(verdict) for verdict in refused] == [Refuse]
+    assert [type(decision) for decision in refused] == [Refuse]
     assert refused[0].failure.outcome is Outcome.NOT_RUN
     assert refused[0].failure.retry_after
 
@@ -99,7 +99,7 @@
     dispatcher.note_written(AFTER_CROWD, running[0].attempt)
     dispatcher.finish(AFTER_CROWD + 0.1, running[0].attempt, Answered(200))
     served = dispatcher.poll(AFTER_CROWD + 0.1)
-    assert [verdict.request for verdict in served] == ['urgent']
+    assert [decision.request for decision in served] == ['urgent']
 
 
 def test_high_rank_is_not_refused_for_the_number_of_others(crowded):
@@ -125,5 +125,5 @@
         dispatcher.finish(moment + seconds, sent.attempt, Answered(200))
     later = AFTER_CROWD + 50
     taken = [send(dispatcher, name, later) for name in 'pq']
-    assert [type(verdict) for verdict in taken] == [Send, Send]
+    assert [type(decision) for decision in taken] == [Send, Send]
     assert isinstance(send(dispatcher, 'check', later, CHECK), Wait)
--- a/hillfield/routing/patience.py
+++ b/hillfield/routing/waiting.py
@@ -5,46 +5,48 @@
 from typing import Final
 
 from hillfield.routing.records import RequestRecord
-from hillfield.routing.service import Service
-from hillfield.routing.turns import Turn
+from hillfield.routing.service import ServiceState
+from hillfield.routing.queueorder import QueueOrder
 
 # Times in which an answer is worth most after which a wait has been in vain:
 # late is bearable, so that a short crowd is waited out.
-STALE_AFTER: Final = 1.5
+STALE_AIM_FACTOR: Final = 1.5
 
 
-def is_quick(service: Service, record: RequestRecord) -> bool:
+def is_quick(service: ServiceState, record: RequestRecord) -> bool:
     """Tell whether a request is short beside others to its service."""
     mean = service.selector.latency.mean
     return service.durations.is_quick(record.arrival.plan, mean)
 
 
-def find_turn(service: Service, record: RequestRecord) -> Turn:
+def compute_queue_order(
+    service: ServiceState, record: RequestRecord
+) -> QueueOrder:
     """Return when a request goes among those that wait.
 
     This answers a crowd: while there are fewer slots than requests, those
     that hold up others least go first, then those whose routes rank highest.
     """
-    return Turn(
+    return QueueOrder(
         long=not is_quick(service, record),
         priority=record.arrival.plan.priority,
     )
 
 
-def goes_at_once(service: Service, turn: Turn) -> bool:
+def precedes_waiting(service: ServiceState, order: QueueOrder) -> bool:
     """Tell whether a newcomer may look for a slot before those that wait."""
-    if not (service.waiting() and turn.long):
+    if not (service.count_waiting() and order.long):
         return True
-    return all(turn < record.turn for record in _list_waiting(service))
+    return all(order < record.queue_order for record in _list_waiting(service))
 
 
-def count_ahead(service: Service, turn: Turn) -> int:
+def count_ahead(service: ServiceState, order: QueueOrder) -> int:
     """Return how many wait that go before a newcomer with this turn."""
     waiting = _list_waiting(service)
-    return sum(record.turn <= turn for record in waiting)
+    return sum(record.queue_order <= order for record in waiting)
 
 
-def is_stale(service: Service, now: float, record: RequestRecord) -> bool:
+def is_stale(service: ServiceState, now: float, record: RequestRecord) -> bool:
     """Tell whether a request that waits has waited long enough.
 
     This answers a crowd: what can no longer come in the time in which it is
@@ -56,8 +58,8 @@
     if not plan.aim or is_quick(service, record):
         return False
     usual = service.durations.find(plan).find_quantile(0)
-    return record.find_spent(now) + usual > STALE_AFTER * plan.aim
+    return record.compute_elapsed(now) + usual > STALE_AIM_FACTOR * plan.aim
 
 
-def _list_waiting(service: Service) -> Iterator[RequestRecord]:
-    return chain(service.retries, service.queue)
+def _list_waiting(service: ServiceState) -> Iterator[RequestRecord]:
+    return chain(service.waiting_retries, service.queue)
