--- a/hillfield/routing/capacity.py
+++ b/hillfield/routing/capacity.py
@@ -39,7 +39,7 @@
     >>> table.record_report(0, report)
     >>> table.list_full(0)
     ()
-    >>> table.record_sent(report.target)
+    >>> table.count_sent(report.target)
     >>> table.list_full(0) == (report.target,)
     True
     """
@@ -64,7 +64,7 @@
             None if report.notice is None else report.notice.rate,
         )
 
-    def record_sent(self, target: TargetId) -> None:
+    def count_sent(self, target: TargetId) -> None:
         """Count a request that this node sends there."""
         capacity = self._capacities.get(target)
         if capacity is None:
@@ -75,7 +75,7 @@
         else:
             capacity.waiting += 1
 
-    def record_ended(self, target: TargetId) -> None:
+    def count_ended(self, target: TargetId) -> None:
         """Count the end of a request that this node has sent there.
 
         Reports are rarer than requests where many nodes listen: without it a
--- a/hillfield/routing/feedback.py
+++ b/hillfield/routing/feedback.py
@@ -44,7 +44,7 @@
         seconds = now - attempt.started
     identity = attempt.target.id
     if classification.trigger is not AttemptTrigger.DECLINED:
-        service.capacities.record_ended(identity)
+        service.capacities.count_ended(identity)
     _record_duration(service, now, attempt, classification)
     service.selector.record_ended(now, identity, seconds, classification.failed)
     if _should_pause(service, attempt, classification):
--- a/hillfield/routing/notices.py
+++ b/hillfield/routing/notices.py
@@ -49,10 +49,10 @@
 
     def find(self, now: float, address: Address) -> LifeNotice | None:
         """Return what was told of a target there; None: nothing lately."""
-        notice = self._notices.get(address)
-        if notice is None:
+        received = self._notices.get(address)
+        if received is None:
             return None
-        if now - notice.received_at > NOTICE_LIFETIME:
+        if now - received.received_at > NOTICE_LIFETIME:
             self._notices.pop(address)
             return None
-        return notice.notice
+        return received.notice
--- a/hillfield/routing/service.py
+++ b/hillfield/routing/service.py
@@ -134,7 +134,7 @@
             capacity is not None and capacity.withheld is Held.ONCE
         )
         self.selector.record_sent(target.id)
-        self.capacities.record_sent(target.id)
+        self.capacities.count_sent(target.id)
         send = self.table.start(now, record, target)
         return replace(
             send,
--- a/hillfield/routing/tests/test_placement.py
+++ b/hillfield/routing/tests/test_placement.py
@@ -188,9 +188,9 @@
     capacities = CapacityTable()
     report = LoadReport('s', '10.0.0.1', 80, 1, 1, 1)
     capacities.record_report(0, report)
-    capacities.record_sent(report.target)
+    capacities.count_sent(report.target)
     assert capacities.list_full(0) == (report.target,)
-    capacities.record_ended(report.target)
+    capacities.count_ended(report.target)
     assert not capacities.list_full(0)
 
 
@@ -198,8 +198,8 @@
     capacities = CapacityTable()
     report = LoadReport('s', '10.0.0.1', 80, 1, 1, 1)
     capacities.record_report(0, report)
-    capacities.record_sent(report.target)
+    capacities.count_sent(report.target)
     newer = replace(report, number=2, free=0)
     capacities.record_report(0, newer)
-    capacities.record_ended(report.target)
+    capacities.count_ended(report.target)
     assert capacities.list_full(0) == (report.target,)
