--- a/hillfield/holding/__init__.py
+++ b/hillfield/holding/__init__.py
@@ -1,4 +1,4 @@
-"""Bytes that a node holds of requests and answers, within a budget."""
+"""Memory budget for the bytes of requests and answers that a node holds."""
 
 from hillfield.holding.budgets import (
     COME_BACK,
--- a/hillfield/holding/budgets.py
+++ b/hillfield/holding/budgets.py
@@ -1,8 +1,8 @@
-"""What a node may hold, from the memory that it has.
+"""Limits of the bytes that a node holds, derived from its memory.
 
-The load answered: many large requests at once, or callers and targets that
-read slowly. A process that takes more memory than it has is ended with all
-that it holds, so what finds no room is refused before its body is read.
+Many large requests at once, or callers and targets that read slowly, could use
+up the memory. The kernel ends a process that exceeds its memory, with all its
+requests, so a request beyond the budget is refused before its body is read.
 """
 
 import sys
@@ -12,25 +12,25 @@
 
 from hillfield.holding.pools import BytePool
 
-# Bytes of a node that holds nothing for anybody: twice what one takes in a
-# fleet of 300 hosts.
+# Bytes of a node without requests: twice the memory that it uses in a fleet of
+# 300 hosts.
 OWN_BYTES: Final = 80_000_000
-# The kernel may hold as much again for a connection as the process does, and
-# the remainder is shared by requests and answers.
+# Share of the remaining memory for requests, and for answers. The kernel may
+# buffer as much for a connection as the process does.
 REMAINDER_SHARE: Final = 0.25
-# With less than its own bytes a node still serves a few at a time.
+# Least share of the memory, so that a node with less than its own bytes still
+# serves a few requests at a time.
 MINIMUM_SHARE: Final = 0.05
-# Of the memory that a host gives a process, what the bodies under way to its
-# target may take there: they are held as bytes and again as what is made of
-# them, beside the target itself.
+# Share of a process's memory on the host for bodies in flight to its target: the
+# target holds them as bytes and again as decoded objects, beside its own memory.
 TARGET_SHARE: Final = 0.25
-# Seconds after which a refused request may come again: a body of a megabyte
-# passes in as many at 10 Mbit/s.
+# Seconds after which a refused request may be retried: about the time in which a
+# body of 1 MB is transferred at 10 Mbit/s.
 COME_BACK: Final = 1.0
 
 
 class ByteLimits(Struct, frozen=True):
-    """Bound bytes held of requests and answers, and under way to the target."""
+    """Bound the bytes of requests, of answers, and in flight to the target."""
 
     requests: int = sys.maxsize
     answers: int = sys.maxsize
@@ -38,18 +38,18 @@
 
 
 class ByteBudget(Struct, frozen=True):
-    """Hold the pools of a node; the servers of a node share one."""
+    """Hold the byte pools that all servers of a node share."""
 
     requests: BytePool
     answers: BytePool
     target: BytePool
 
     def find_refusal(self, account: str, kept: int, body: int) -> str:
-        """Return why a request is not let in; empty: it may come.
+        """Return why a request is refused; empty if it is admitted.
 
-        `kept` are the bytes that the node will hold of it at a time, `body`
-        those that the target will. Who holds answers that nobody reads is
-        refused as well: the answer to the next request would join them.
+        `kept` is how many bytes the node will hold of it at a time, `body` how
+        many the target will. An account whose answers are not read is refused
+        too, since the answer to the next request would be added to them.
         """
         if not self.requests.admits(account, kept):
             return 'no room for its body'
@@ -61,7 +61,7 @@
 
 
 def make_budget(limits: ByteLimits | None = None) -> ByteBudget:
-    """Return empty pools; without limits they take anything."""
+    """Create empty pools; without limits they admit everything."""
     limits = limits or ByteLimits()
     return ByteBudget(
         BytePool(limits.requests),
@@ -71,16 +71,17 @@
 
 
 def share_with_callers(budget: ByteBudget) -> ByteBudget:
-    """Return the budget of requests that go to targets of any host.
+    """Return the same pools without a limit for the target.
 
-    Each of them has a gate of its own, which bounds what it holds.
+    It is for requests to targets of any host: each target has a gate, which
+    limits the bytes in flight to it.
     """
     anywhere = BytePool(ByteLimits().target)
     return ByteBudget(budget.requests, budget.answers, anywhere)
 
 
 def make_limits(memory: int | None) -> ByteLimits:
-    """Return the limits of a process with so many bytes; None: no limit.
+    """Compute the limits from a process's memory in bytes; None: no limits.
 
     >>> make_limits(200_000_000)
     ByteLimits(requests=30000000, answers=30000000, target=50000000)
--- a/hillfield/holding/pools.py
+++ b/hillfield/holding/pools.py
@@ -1,30 +1,31 @@
-"""One number of bytes, shared out among client accounts."""
+"""Byte limit shared among client accounts."""
 
 from collections import Counter
 
 
 class BytePool:
-    """Count what accounts hold, and say which of them may hold more.
+    """Count the bytes that accounts hold, and decide who may hold more.
 
-    An account may come to hold as much as is left free then. So a single one gets half
-    of the pool and leaves the other half, two greedy ones a third each; one
-    that holds nothing always finds room, with no figure set for any account.
+    An account may hold at most as much as is free afterwards. A single account
+    thus gets half of the pool, two greedy ones a third each, and an account that
+    holds nothing always finds some bytes free, without a limit per account.
     """
 
     def __init__(self, limit: int) -> None:
-        """Start with nothing held; `limit` is in bytes."""
+        """Create an empty pool; `limit` is in bytes."""
         self.limit = limit
         self.total = 0
         self._held: Counter[str] = Counter()
 
     def held_by(self, account: str) -> int:
-        """Return the bytes of one account."""
+        """Return the bytes that one account holds."""
         return self._held[account]
 
     def admits(self, account: str, size: int) -> bool:
-        """Tell whether an account may hold so many bytes more.
+        """Tell whether an account may hold `size` bytes more.
 
-        What is alone may pass at any size: else it never could.
+        While the pool is empty, any size is admitted; otherwise a request
+        larger than half of the pool never would be.
 
         >>> pool = BytePool(100)
         >>> pool.change('baker', 40)
@@ -39,11 +40,11 @@
         return held + size <= self.limit - self.total - size
 
     def change(self, account: str, size: int) -> None:
-        """Count bytes that an account holds more, or fewer (below zero)."""
+        """Add bytes to those of an account; a negative size removes them."""
         self.total += size
         left = self._held[account] + size
         if left:
             self._held[account] = left
         else:
-            # No trace is kept of accounts that hold nothing.
+            # Accounts without bytes are removed, so that the pool stays small.
             self._held.pop(account, None)
--- a/hillfield/routing/__init__.py
+++ b/hillfield/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Routing of requests to targets: observations in, verdicts out."""
+"""Routing of requests to targets: observations in, decisions out."""
 
 from hillfield.routing.dispatcher import Dispatcher
 from hillfield.routing.explanations import LoadExplanation, RoutingExplanation
--- a/hillfield/routing/admission.py
+++ b/hillfield/routing/admission.py
@@ -1,4 +1,4 @@
-"""Admission of new requests and the queue before the slots."""
+"""Admission of new requests, and the queue of those that wait for a slot."""
 
 from functools import partial
 from typing import Final
@@ -27,6 +27,7 @@
 from hillfield.routing.ratelimits import find_rate_limit_cause
 from hillfield.routing.service import ServiceState
 
+# Least seconds between two searches of the queue for requests to refuse.
 SCAN_INTERVAL: Final = 0.01
 NO_TARGET: Final = Cause(
     EventCode.SERVICE_WITHOUT_TARGET,
@@ -53,7 +54,7 @@
 
 
 def serve_queue(service: ServiceState, now: float) -> tuple[Verdict, ...]:
-    """Send what has found a slot; refuse what has waited in vain."""
+    """Send queued requests to free slots; refuse those that can't succeed."""
     if not len(service.queue):
         return ()
     if not service.expects_target(now):
@@ -105,7 +106,7 @@
         return Cause(
             EventCode.ACCOUNT_RATE_EXCEEDED,
             Step.ADMIT,
-            'the account sends more than its rate',
+            'the account exceeds its request rate',
             delay,
             TOO_MANY,
         )
@@ -117,7 +118,8 @@
 ) -> Verdict:
     queue = service.queue
     own = queue.count_waiting(record.arrival.plan.account) + 1
-    # In turns, at most `own` requests of each account go before this one.
+    # Accounts are served in turn, so that at most `own` requests of each account
+    # go before this one.
     fair_position = own * (queue.count_accounts() + 1)
     position = 1
     if record.queue_order.long:
@@ -172,23 +174,23 @@
 def _find_queue_limit_cause(
     service: ServiceState, own: int, wait: float
 ) -> Cause | None:
-    """Return why the account's `own`th request may not wait."""
+    """Return why the account's `own`th waiting request is refused, if it is."""
     limit = service.policy.queue_limit
     share = max(1, service.policy.account_share * limit)
     if own > share and len(service.queue) >= own:
         return Cause(
             EventCode.ACCOUNT_SHARE_EXCEEDED,
             Step.ADMIT,
-            'the account fills its share of the queue',
+            'the account has used up its share of the queue',
             wait,
             TOO_MANY,
         )
     if len(service.queue) < limit:
         return None
-    full = Cause(EventCode.QUEUE_FULL, Step.ADMIT, 'too many wait', wait)
+    full = Cause(EventCode.QUEUE_FULL, Step.ADMIT, 'the queue is full', wait)
     if service.queue.longest_length() <= own:
         return full
-    # Room is made at the cost of the account with the most waiting.
+    # The account with the most waiting requests loses its last one.
     evicted = service.queue.evict()
     service.pending_refusals.append(refuse(service, evicted, full))
     return None
@@ -202,7 +204,7 @@
     cause = Cause(
         EventCode.WAIT_TOO_LONG,
         Step.ADMIT,
-        'it would have waited past its deadline',
+        'the expected wait exceeds the deadline',
         service.estimate_wait(now, service.count_waiting() + 1),
     )
     return refuse(service, record, cause)
--- a/hillfield/routing/baseline.py
+++ b/hillfield/routing/baseline.py
@@ -1,8 +1,8 @@
-"""A plain way of routing to measure against.
+"""Plain round-robin routing as a baseline for measurements.
 
-Round robin over the rotation, one retry of idempotent requests at the next
-target, no budget, no bound on requests in flight, no queue and no hedge. It
-keeps promise 3 and 4; it is never the default.
+It sends requests round robin over the rotation and retries idempotent ones once
+at the next target; it has no budget, no bound on requests in flight, no queue
+and no hedges. It keeps promises 3 and 4 and is never the default.
 """
 
 from typing import Final
@@ -26,7 +26,7 @@
 
 
 class BaselineDispatcher(Dispatcher):
-    """Route in turns; the surface is that of `Dispatcher`."""
+    """Route round robin, with the interface of `Dispatcher`."""
 
     def adopt_targets(
         self,
@@ -34,11 +34,11 @@
         targets: tuple[Target, ...],
         nodes: int = 1,
     ) -> None:
-        """Take all announced targets of the service."""
+        """Replace the announced targets of the service."""
         self.board.adopt_targets(now, targets)
 
     def admit(self, now: float, arrival: Arrival) -> Verdict:
-        """Send a new request to the target whose turn it is."""
+        """Send a new request to the next target."""
         return self._send(now, self._service.table.open(arrival))
 
     def finish(
@@ -47,7 +47,7 @@
         attempt: int,
         observation: Observation,
     ) -> Verdict:
-        """End an attempt; repeat an idempotent request once."""
+        """End an attempt; retry an idempotent request once."""
         found = self._service.table.find(attempt)
         if found is None:
             return Done('')
@@ -66,10 +66,10 @@
         return refuse(self._service, record, describe_reading(classification))
 
     def find_hedge_delay(self, plan: RequestPlan) -> None:
-        """Name no delay: nothing is sent twice at once."""
+        """Return None: no request is hedged."""
 
     def hedge(self, now: float, request: str) -> Send | None:
-        """Never hedge."""
+        """Return None: no request is hedged."""
 
     def leave(self, now: float, request: str) -> None:
         """Do nothing: no request is ever queued."""
@@ -82,7 +82,7 @@
         """Return None: no request is ever queued."""
 
     def tick(self, now: float) -> tuple[Occurrence, ...]:
-        """Return what has changed of the targets' health."""
+        """Return the events of the targets' health since the last tick."""
         return self.board.tick(now)
 
     def _send(self, now: float, record: RequestRecord) -> Verdict:
--- a/hillfield/routing/bench.py
+++ b/hillfield/routing/bench.py
@@ -1,8 +1,8 @@
-"""Fake targets and callers in passed-in time, for measurements.
+"""Simulation of targets and callers in simulated time, for measurements.
 
-Targets run `slots` requests at once. One that is full sheds, or lets
-requests wait in line if it doesn't know how to shed. Work that its caller
-has given up on is still done, as with targets that ignore cancellation.
+Targets run `slots` requests at once. A full target sheds, or queues requests if
+it can't shed. Requests that their caller has cancelled are still run, as by
+targets that ignore cancellation.
 """
 
 from collections import deque
@@ -47,14 +47,14 @@
 TICKS: Final = 10
 LOCALITY: Final = Locality('north', 'a', 'h0')
 GREEDY: Final = -1
-# As targets write it in whole seconds.
+# Retry-After has whole seconds.
 SHED: Final = Shed(retry_after=1)
 BREAK: Final = Broken('reset')
 ANSWER: Final = Answered(HTTPStatus.OK)
 
 
 class Burst(Struct, frozen=True):
-    """Say when more arrives: so many a second, from a moment, for so long."""
+    """Define additional requests: `rate` a second for some `seconds`."""
 
     rate: float
     since: float
@@ -62,12 +62,12 @@
 
 
 class Setting(Struct, frozen=True):
-    """Say what is measured; times are in seconds.
+    """Define a simulation; times are in seconds.
 
-    `rate` is in requests a second over all nodes, `burst` what comes on top,
-    `slow` the factor of the first target from `slow_since` on, `broken`
-    whether all targets break every request, `greedy` the share of requests
-    that one account sends on top.
+    `rate` is in requests a second over all nodes, `burst` adds to it. `slow`
+    multiplies the service time of the first target from `slow_since` on,
+    `broken` says whether all targets break every request, `greedy` is the share
+    of requests that one more account sends.
     """
 
     nodes: int = 1
@@ -89,11 +89,11 @@
     policy: ServicePolicy = ServicePolicy(SERVICE)
 
     def capacity(self) -> float:
-        """Return the requests a second that the targets can answer."""
+        """Return the requests a second that the targets can serve."""
         return self.targets * self.slots / self.service_time
 
     def find_rate(self, now: float) -> float:
-        """Return the requests a second that arrive at a moment.
+        """Return the requests a second that arrive at this time.
 
         >>> Setting(rate=60, burst=Burst(400, 0.5, 1)).find_rate(1.0)
         460
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True)
 class Tally:
-    """Count what callers got; `latencies` in seconds of good answers."""
+    """Count outcomes; `latencies` are those of answers, in seconds."""
 
     arrived: int = 0
     sent: int = 0
@@ -119,7 +119,7 @@
     greedy_answered: int = 0
 
     def percentile(self, share: float) -> float:
-        """Return the latency that this share of answers doesn't exceed."""
+        """Return the latency that this share of answers does not exceed."""
         ordered = sorted(self.latencies)
         if not ordered:
             return 0
@@ -129,7 +129,7 @@
 
 @dataclass(order=True, slots=True)
 class Event:
-    """Hold an action to be done at a time, in order of entry."""
+    """Hold an action to run at a time; equal times run in order of entry."""
 
     when: float
     order: int
@@ -139,7 +139,7 @@
 
 @dataclass(slots=True)
 class FakeTarget:
-    """Hold a fake target's line and busy slots."""
+    """Hold a simulated target's queue and busy slots."""
 
     target: Target
     factor: float
@@ -161,7 +161,7 @@
 
 
 class Bench:
-    """Run one setting against one kind of dispatcher and of board."""
+    """Simulate one setting with one kind of dispatcher and detector."""
 
     def __init__(
         self,
@@ -169,7 +169,7 @@
         board_kind: Any,
         dispatcher_kind: Any,
     ) -> None:
-        """Prepare the targets, the nodes and the arrivals."""
+        """Create the targets, the nodes and an empty tally."""
         self.tally = Tally()
         self._setting = setting
         self._random = Random(setting.seed)
--- a/hillfield/routing/budgets.py
+++ b/hillfield/routing/budgets.py
@@ -1,4 +1,4 @@
-"""Budgets that bound retries, hedges and the work of one account."""
+"""Token buckets that bound retries, hedges and the requests of an account."""
 
 from collections import OrderedDict
 from math import exp
@@ -7,8 +7,9 @@
 from hillfield.model import ServicePolicy
 
 HEDGE_BURST: Final = 2.0
-# Seconds for which time itself adds to a budget between two calls.
+# Most seconds between two calls for which tokens are added by elapsed time.
 LONGEST_INTERVAL: Final = 10.0
+# Cost of a retry after an attempt that reached no target, relative to others.
 UNSENT_COST: Final = 0.1
 UNSENT_BURST: Final = 50.0
 ACCOUNT_BURST: Final = 3.0
@@ -17,7 +18,7 @@
 
 
 class Bucket:
-    """Hold tokens up to a bound.
+    """Hold tokens up to a bound, the burst.
 
     >>> bucket = Bucket(burst=2, tokens=1)
     >>> bucket.take(), bucket.take()
@@ -35,11 +36,11 @@
         self.tokens = tokens
 
     def deposit(self, tokens: float) -> None:
-        """Add tokens; what exceeds the bound is lost."""
+        """Add tokens; those beyond the bound are discarded."""
         self.tokens = min(self.burst, self.tokens + tokens)
 
     def bound(self, burst: float) -> None:
-        """Set the bound; what exceeds it is lost."""
+        """Set the bound; tokens beyond it are discarded."""
         self.burst = burst
         self.tokens = min(burst, self.tokens)
 
@@ -48,7 +49,7 @@
         return self.tokens >= cost
 
     def take(self, cost: float = 1) -> bool:
-        """Take the cost if the tokens cover it."""
+        """Consume the cost if the tokens cover it."""
         if self.tokens < cost:
             return False
         self.tokens -= cost
@@ -56,11 +57,12 @@
 
 
 class EarnedBucket(Bucket):
-    """Hold tokens up to a bound that grows with what comes in.
+    """Hold tokens up to a bound that grows with what is earned.
 
-    The load: a target that fails for half a second meets all the requests that
-    come to it in that time. The bound is what the last `saved` seconds brought,
-    and `least` at least; it shrinks again when nothing is answered.
+    A target that fails for 0.5 s fails all requests sent to it in that time, so
+    the retries allowed must grow with the traffic. The bound is what was earned
+    in about the last `saved` seconds, at least `least`; it shrinks again while
+    no request is answered.
 
     >>> bucket = EarnedBucket(least=2, saved=1)
     >>> for step in range(30):
@@ -75,7 +77,7 @@
     __slots__ = ('_earned', '_minimum', '_saving_seconds', '_updated')
 
     def __init__(self, least: float, saved: float) -> None:
-        """Start full, and with nothing earned."""
+        """Start full and with nothing earned."""
         super().__init__(least, least)
         self._minimum = least
         self._saving_seconds = saved
@@ -83,7 +85,7 @@
         self._updated = float()
 
     def copy(self, least: float) -> 'EarnedBucket':
-        """Return a full one that has earned as much."""
+        """Return a full bucket that has earned as much."""
         copied = EarnedBucket(least, self._saving_seconds)
         copied._earned = self._earned
         copied._updated = self._updated
@@ -92,20 +94,20 @@
         return copied
 
     def set_bounds(self, least: float, saved: float) -> None:
-        """Take new bounds into force."""
+        """Replace the least bound and the seconds of saving."""
         self._minimum = least
         self._saving_seconds = saved
         self._update_burst()
 
     def earn(self, now: float, tokens: float) -> None:
-        """Add what an answered request allows."""
+        """Add the tokens that an answered request earns."""
         self.decay(now)
         self._earned += tokens
         self._update_burst()
         self.deposit(tokens)
 
     def decay(self, now: float) -> None:
-        """Let the bound follow what has come in until now."""
+        """Decay what was earned, and the bound with it, until now."""
         elapsed = max(0, now - self._updated)
         self._updated = max(now, self._updated)
         if self._earned:
@@ -124,16 +126,15 @@
 class RetryBudget:
     """Bound the retries and hedges of a service and of each account.
 
-    Tokens come from answered requests only: when a whole service fails
-    nothing is deposited, and attempts per request tend to 1. What may be saved
-    up grows with the traffic, of the service and of each account. Retries after
-    the shed answer, and those of requests that could not be sent, have
-    buckets of their own with larger bursts and deposits: the first cost the
-    target no slot, the second no target anything.
+    Answered requests earn tokens: if a whole service fails, none are earned and
+    attempts per request tend to 1. The bursts grow with the traffic of the
+    service and of each account. Retries after a shed answer and of requests
+    that were not sent have separate buckets with larger bursts and deposits,
+    since the former use no slot and the latter put no load on any target.
     """
 
     def __init__(self, policy: ServicePolicy) -> None:
-        """Start with full bursts, so that a first failure can be retried."""
+        """Start with full buckets, so that a first failure can be retried."""
         self._shed_cost = policy.shed_cost
         self.retries = EarnedBucket(policy.retry_burst, policy.retry_saving)
         self.sheds = Bucket(policy.shed_burst, policy.shed_burst)
@@ -144,7 +145,7 @@
         self._accounts: OrderedDict[str, EarnedBucket] = OrderedDict()
 
     def record_answered(self, policy: ServicePolicy, account: str) -> None:
-        """Deposit what one answered request allows."""
+        """Deposit what one answered request earns."""
         self.retries.earn(self._now, policy.retry_budget)
         self.sheds.deposit(policy.retry_budget / policy.shed_cost)
         self.unsent.deposit(policy.retry_budget / UNSENT_COST)
@@ -154,23 +155,23 @@
             bucket.earn(self._now, policy.retry_budget)
 
     def advance(self, now: float, policy: ServicePolicy) -> None:
-        """Deposit what the seconds since the last call allow."""
+        """Deposit the tokens that the seconds since the last call add."""
         seconds = min(LONGEST_INTERVAL, now - self._now)
         self._now = now
         self.retries.decay(now)
         self.retries.deposit(policy.retry_rate * seconds)
 
     def adopt(self, policy: ServicePolicy) -> None:
-        """Take new bounds into force; what is saved up stays within them."""
+        """Use the bounds of a new policy; tokens beyond them are discarded."""
         self._shed_cost = policy.shed_cost
         self.hedges = self._choose_hedges(policy)
         self.retries.set_bounds(policy.retry_burst, policy.retry_saving)
         self.sheds.bound(policy.shed_burst)
 
     def consume_retry(self, account: str, shed: bool) -> bool:
-        """Take a retry from the service's and the account's budget."""
+        """Consume a retry from the service's and the account's budget."""
         cost = self._shed_cost if shed else 1
-        # Where a shed answer costs as much as a run, both share one bound.
+        # If a retry after a shed answer costs as much as any, both share a bucket.
         service_bucket = self.sheds if cost < 1 else self.retries
         bucket = self._account_bucket(account)
         bucket.decay(self._now)
@@ -180,11 +181,11 @@
         return bucket.take(cost)
 
     def consume_unsent(self) -> bool:
-        """Take another try of a request that could not be sent."""
+        """Consume a retry of a request that could not be sent."""
         return self.unsent.take()
 
     def consume_hedge(self) -> bool:
-        """Take a hedge from the service's budget."""
+        """Consume a hedge from the service's budget."""
         return self.hedges.take()
 
     def _choose_hedges(self, policy: ServicePolicy) -> Bucket:
@@ -194,7 +195,7 @@
     def _account_bucket(self, account: str) -> EarnedBucket:
         bucket = self._accounts.get(account)
         if bucket is None:
-            # Until its own answers tell, it may be all of the traffic.
+            # Before its first answers, an account may be all of the traffic.
             bucket = self.retries.copy(ACCOUNT_BURST)
             self._accounts[account] = bucket
             if len(self._accounts) > ACCOUNTS_KEPT:
@@ -204,7 +205,7 @@
 
 
 class RateLimiter:
-    """Bound the requests a second of each account at this node."""
+    """Limit the requests a second of each account at this node."""
 
     def __init__(self) -> None:
         """Start without accounts."""
@@ -213,7 +214,7 @@
     def consume_or_delay(
         self, now: float, account: str, rate: float | None
     ) -> float:
-        """Return 0 and count the request, or the seconds to wait."""
+        """Consume a token and return 0, or return the seconds to wait."""
         if rate is None or rate <= 0:
             return 0
         burst = max(1, rate * RATE_BURST_SECONDS)
--- a/hillfield/routing/capacity.py
+++ b/hillfield/routing/capacity.py
@@ -1,4 +1,4 @@
-"""What the gates of a service have told of their targets' room."""
+"""Free capacity of a service's targets as their gates report it."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -6,18 +6,18 @@
 from hillfield.loadreports.reports import Held, LoadReport
 from hillfield.model import RequestPlan, TargetId
 
-# Seconds for which a report is believed: it is told anew each 10 s at most.
+# Seconds for which a report counts; gates repeat it after 10 s at the latest.
 REPORT_LIFETIME: Final = 12.0
 
 
 @dataclass(slots=True)
 class ReportedCapacity:
-    """Hold the newest report of one target; `free` less what went there.
+    """Hold the newest report of one target, less what was sent there since.
 
-    `outstanding` counts what this node has sent there since and not seen end, `wait`
-    is the seconds until one more usual request would begin there, `usable` the
-    slots that do useful work (0: not told), `rate` the requests a second that
-    the target takes (None: it names no limit).
+    `outstanding` counts requests that this node has sent since and that have
+    not ended, `wait` is the seconds until one more usual request would start,
+    `usable` the slots that do useful work (0: not reported), `rate` the
+    target's limit in requests a second (None: no limit).
     """
 
     number: int
@@ -32,7 +32,7 @@
 
 
 class CapacityTable:
-    """Remember reports, and what this node has sent since.
+    """Hold the latest reports, corrected by what this node has sent since.
 
     >>> table = CapacityTable()
     >>> report = LoadReport('fees', '10.0.0.1', 80, 7, 1, 1)
@@ -45,11 +45,11 @@
     """
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Create an empty table."""
         self._capacities: dict[TargetId, ReportedCapacity] = {}
 
     def record_report(self, now: float, report: LoadReport) -> None:
-        """Take a report, unless a newer one has come already."""
+        """Store a report, unless a newer one was received already."""
         known = self._capacities.get(report.target)
         if known is not None and report.number < known.number:
             return
@@ -65,7 +65,7 @@
         )
 
     def count_sent(self, target: TargetId) -> None:
-        """Count a request that this node sends there."""
+        """Count a request that this node sends to the target."""
         capacity = self._capacities.get(target)
         if capacity is None:
             return
@@ -76,11 +76,11 @@
             capacity.waiting += 1
 
     def count_ended(self, target: TargetId) -> None:
-        """Count the end of a request that this node has sent there.
+        """Count the end of a request that this node has sent to the target.
 
-        Reports are rarer than requests where many nodes listen: without it a
-        target counts as full after as many requests as it has slots. Where the
-        target names a limit, an end brings no turn back.
+        With many receiving nodes, reports are rarer than requests: without this
+        a target would count as full after as many requests as it has slots. If
+        the target announces a rate limit, an end restores no capacity.
         """
         capacity = self._capacities.get(target)
         if capacity is None or not capacity.outstanding:
@@ -94,12 +94,12 @@
             capacity.free += 1
 
     def has_reports(self, now: float) -> bool:
-        """Tell whether any gate tells of its room."""
+        """Tell whether any gate has reported its capacity recently."""
         self._drop_expired(now)
         return bool(self._capacities)
 
     def find(self, target: TargetId) -> ReportedCapacity | None:
-        """Return what is known of a target's room."""
+        """Return a target's reported capacity; None if not reported."""
         return self._capacities.get(target)
 
     def list_full(self, now: float) -> tuple[TargetId, ...]:
@@ -112,11 +112,11 @@
         )
 
     def list_quarantined(self, now: float) -> tuple[TargetId, ...]:
-        """Return the targets whose gates hold back all usual work."""
+        """Return the targets whose gates withhold all usual work."""
         return self._list_at_least(now, Held.USUAL)
 
     def list_awaiting_trial(self, now: float) -> frozenset[TargetId]:
-        """Return the targets whose gates ask for a trial."""
+        """Return the targets whose gates wait for a trial."""
         self._drop_expired(now)
         return frozenset(
             target
@@ -130,9 +130,9 @@
         plan: RequestPlan,
         trial: bool,
     ) -> tuple[TargetId, ...]:
-        """Return the targets whose gates hold such work back.
+        """Return the targets whose gates withhold this kind of work.
 
-        `trial` says that the request may try a doubtful target.
+        `trial` says that the request may be a trial of an unhealthy target.
         """
         least = Held.USUAL if plan.idempotent else Held.ONCE
         return self._list_at_least(now, Held.ALL if trial else least)
--- a/hillfield/routing/declining.py
+++ b/hillfield/routing/declining.py
@@ -1,12 +1,12 @@
-"""Refusals by the node beside a target."""
+"""Refusals of requests by the gate of a target."""
 
 from msgspec import Struct
 
 
 class Declined(Struct, frozen=True):
-    """The node beside the target refused: no byte went to the target.
+    """The target's gate declined: no byte was sent to the target.
 
-    `lasting` says that it will refuse the next request as well.
+    `lasting` says that it will decline the next request too.
     """
 
     detail: str
--- a/hillfield/routing/departures.py
+++ b/hillfield/routing/departures.py
@@ -1,22 +1,23 @@
-"""How quickly requests that wait get a slot."""
+"""How quickly waiting requests get a slot."""
 
 from collections import deque
 from typing import Final
 
-# Seconds after which departures say nothing of the present.
+# Seconds without a departure after which older intervals are dropped.
 INTERVAL_LIFETIME: Final = 5.0
-# Departures that are remembered: a longer line than the usual queue.
+# Intervals kept: more than the usual queue has requests.
 DEPARTURES_KEPT: Final = 128
-# The fewest by which a line is judged: slots are given back in groups, so that
-# a few departures may lie close together, or a pause may lie between them.
+# Fewest intervals for an estimate. Slots are released in groups: a few
+# departures may lie close together, or a pause may lie between them.
 MINIMUM_DEPARTURES: Final = 8
 
 
 class DepartureIntervals:
-    """Measure how long departures take while requests wait.
+    """Measure the intervals between departures while requests wait.
 
-    A line is judged by as many departures as it needs: one pause of the
-    targets, or of this node, then counts for what it is.
+    The wait at a queue position is estimated from as many intervals as the
+    position needs, so that a single pause of the targets or of this node is
+    not counted once for each waiting request.
 
     >>> intervals = DepartureIntervals()
     >>> for number in range(40):
@@ -26,13 +27,13 @@
     """
 
     def __init__(self) -> None:
-        """Start without a measurement."""
+        """Create a measurement without intervals."""
         self._intervals: deque[float] = deque(maxlen=DEPARTURES_KEPT)
         self._last: float | None = None
         self._updated = float('-inf')
 
     def record_departure(self, now: float, waiting: bool) -> None:
-        """Take the end of an attempt that held a slot."""
+        """Record the end of an attempt that occupied a slot."""
         if not waiting:
             self._last = None
             return
@@ -47,10 +48,10 @@
         position: int,
         service_time: float,
     ) -> float:
-        """Return the seconds until the request at this position is sent.
+        """Estimate the seconds until the request at this position is sent.
 
-        `service_time` is latency per slot; it stands in for the measurement
-        when that is old, or too short to judge by.
+        `service_time` is the mean latency divided by the slots; it is used
+        instead of the measurement while that is too old or too short.
         """
         if now - self._updated >= INTERVAL_LIFETIME:
             self._intervals.clear()
--- a/hillfield/routing/dispatcher.py
+++ b/hillfield/routing/dispatcher.py
@@ -22,7 +22,7 @@
 
 
 class Dispatcher(Hedging):
-    """Decide admission, target, retries, hedges and what callers are told."""
+    """Decide on admission, targets, retries, hedges and refusals."""
 
     def __init__(
         self,
@@ -38,7 +38,7 @@
         self._retries_exhausted = False
 
     def adopt_policy(self, now: float, policy: ServicePolicy) -> None:
-        """Take a new policy into force for all that is decided from now."""
+        """Use a new policy for all further decisions."""
         self._service.policy = policy
         self._service.budget.adopt(policy)
         self.board.adopt_policy(now, policy)
@@ -49,7 +49,7 @@
         targets: tuple[Target, ...],
         nodes: int = 1,
     ) -> None:
-        """Take all announced targets of the service; use this node's subset.
+        """Replace the announced targets and choose this node's subset of them.
 
         `nodes` is how many nodes share the targets' connection limits.
         """
@@ -77,11 +77,11 @@
         attempt: int,
         observation: Observation,
     ) -> Verdict:
-        """End an attempt and decide what becomes of its request.
+        """End an attempt and decide how its request continues.
 
-        `Wait` means that the caller is still owed a verdict: by `poll`, or
-        by the end of a hedge that still lives. An attempt that has ended
-        already gives `Done` without a request and changes nothing.
+        `Wait` means that the next decision on the request follows from `poll`
+        or from the end of its other attempt. For an attempt that has already
+        ended, `Done` with an empty request is returned and nothing changes.
         """
         found = self._service.table.find(attempt)
         if found is None:
@@ -89,11 +89,11 @@
         return finish(self._service, now, found, observation)
 
     def leave(self, now: float, request: str) -> None:
-        """Forget a request whose caller went away."""
+        """Drop a queued request whose caller has disconnected."""
         self._service.cancel(request)
 
     def poll(self, now: float) -> tuple[Verdict, ...]:
-        """Return verdicts for queued requests; call after finish, in ticks."""
+        """Return decisions for queued requests; call after finish and in ticks."""
         service = self._service
         if not (service.count_waiting() or service.pending_refusals):
             return ()
@@ -104,26 +104,26 @@
         return (*pending, *retried, *serve_queue(service, now))
 
     def next_due(self) -> float | None:
-        """Return when `poll` may send what waits; None: at an event only.
+        """Return when `poll` may send waiting requests; None: after events only.
 
-        That is the end of a pause; other waits end by `finish` or are given
-        up in ticks.
+        That is when the next pause of a target ends. Other waits end with
+        `finish`, or are refused in ticks.
         """
         if not self._service.count_waiting():
             return None
         return self._service.selector.pauses.next_end()
 
     def is_idle(self) -> bool:
-        """Tell whether no request waits or is at a target."""
+        """Tell whether no request is waiting or in flight."""
         table = self._service.table
         return not (table.requests or table.attempts)
 
     def adopt_report(self, now: float, report: LoadReport) -> None:
-        """Take what the gate of a target tells of its room."""
+        """Apply the free capacity of a target that its gate reported."""
         apply_report(self._service, now, report)
 
     def tick(self, now: float) -> tuple[Occurrence, ...]:
-        """Return what has changed since the last tick; call each 0.1 s."""
+        """Return the events since the last tick; call every 0.1 s."""
         occurrences = list(self.board.tick(now))
         self._service.budget.advance(now, self._service.policy)
         name = self._service.policy.service
@@ -142,5 +142,5 @@
         return tuple(occurrences)
 
     def explain(self, now: float) -> RoutingExplanation:
-        """Explain the present state of the service's decisions."""
+        """Return the present state of the service's decisions."""
         return explain_service(self._service, now)
--- a/hillfield/routing/durations.py
+++ b/hillfield/routing/durations.py
@@ -1,7 +1,7 @@
-"""How long the requests of each route take.
+"""Estimates of how long the requests of each route take.
 
-Routes to one target differ in length by more than sick targets do, so that
-one limit for all would wait far too long for the short ones.
+Routes of one target differ more in duration than healthy and unhealthy targets
+do, so one limit for all routes would wait far too long for the short ones.
 """
 
 from collections import OrderedDict
@@ -12,29 +12,29 @@
 from hillfield.model import RequestPlan
 
 ROUTES_KEPT: Final = 512
-# What is assumed of a route before anything is measured: the part of the time
-# in which an answer is worth most that its requests take as a rule, their
-# spread (standard deviation of the logarithm), and how many answers that
-# counts for. Routes of the users' deployments take 0.2 to 0.5 of that time
-# and spread by 0.3 to 0.8 (their site files).
+# Assumptions about a route before its first measurement: the median duration as
+# a share of the latency objective (`aim`), the standard deviation of the
+# logarithm of the duration, and the number of answers that the assumptions count
+# as. Deployed routes take 0.2 to 0.5 of the objective, with a deviation of 0.3
+# to 0.8.
 ASSUMED_AIM_SHARE: Final = 0.33
 ASSUMED_SPREAD: Final = 0.7
 ASSUMED_COUNT: Final = 2
-# Seconds in which an answer is worth most where nobody says so.
+# Latency objective in seconds of plans that name none.
 ASSUMED_AIM: Final = 1.0
-# Answers remembered: a change in length is learnt within about so many.
+# Answers that the estimate weighs: it follows a change within about as many.
 MAXIMUM_COUNT: Final = 30
 LEAST_SPREAD: Final = 0.3
-# Part of the mean of a target's requests up to which one counts as quick.
+# Share of the mean latency up to which a route's requests count as quick.
 QUICK_SHARE: Final = 0.75
 LEAST_SECONDS: Final = 0.001
 
 
 @dataclass(slots=True)
 class Duration:
-    """Hold a log-normal estimate of how long requests take, in seconds.
+    """Estimate the duration of requests, in seconds, as log-normal.
 
-    `middle` and `variance` are those of the logarithm of the seconds.
+    `middle` and `variance` are the mean and variance of the logarithm.
 
     >>> short = Duration(log(0.1), 0.25)
     >>> round(short.find_quantile(1.28), 2), round(short.survive(0.19), 1)
@@ -46,7 +46,7 @@
     count: int = ASSUMED_COUNT
 
     def note(self, seconds: float) -> None:
-        """Take how long a request took."""
+        """Add a measured duration."""
         self.count = min(MAXIMUM_COUNT, self.count + 1)
         gain = 1 / self.count
         surplus = log(max(LEAST_SECONDS, seconds)) - self.middle
@@ -55,11 +55,11 @@
         self.variance = kept * (self.variance + gain * surplus**2)
 
     def find_quantile(self, deviations: float) -> float:
-        """Return the seconds so many standard deviations above the median."""
+        """Return the duration that lies this far above the median."""
         return exp(self.middle + deviations * self._spread())
 
     def survive(self, seconds: float) -> float:
-        """Return the share of requests that take longer."""
+        """Return the share of requests that take longer than `seconds`."""
         surplus = log(max(LEAST_SECONDS, seconds)) - self.middle
         return erfc(surplus / self._spread() / sqrt(2)) / 2
 
@@ -68,29 +68,29 @@
 
 
 class Durations:
-    """Keep the duration of each route, the least recently used forgotten."""
+    """Hold the duration of each route, dropping the least recently used."""
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without routes."""
         self._routes: OrderedDict[str, Duration] = OrderedDict()
 
     def is_quick(self, plan: RequestPlan, mean: float) -> bool:
-        """Tell whether the plan's requests are short beside the mean.
+        """Tell whether the plan's requests are short compared to the mean.
 
-        Quick requests go first: they hold up others least, and calls of
-        running work are among them, whose slot waits as long as they do.
+        Quick requests are served first: they occupy a slot for the shortest
+        time, and running requests, which occupy slots too, wait for some.
         """
         if not plan.aim:
             return False
         return self.find(plan).find_quantile(0) <= QUICK_SHARE * mean
 
     def knows(self, plan: RequestPlan) -> bool:
-        """Tell whether any request of the plan's route was measured."""
+        """Tell whether the plan's route has a measurement."""
         found = self._routes.get(plan.route)
         return found is not None and found.count > ASSUMED_COUNT
 
     def find(self, plan: RequestPlan) -> Duration:
-        """Return what is known of the plan's route."""
+        """Return the duration of the plan's route, assumed if not measured."""
         found = self._routes.get(plan.route)
         if found is None:
             middle = log(ASSUMED_AIM_SHARE * (plan.aim or ASSUMED_AIM))
--- a/hillfield/routing/explanations.py
+++ b/hillfield/routing/explanations.py
@@ -1,4 +1,4 @@
-"""What operators are shown of the decisions of one service."""
+"""State of one service's decisions as shown to operators."""
 
 from msgspec import Struct
 
@@ -9,7 +9,7 @@
 
 
 class LoadExplanation(Struct, frozen=True):
-    """Show one target's load from this node; `latency` in seconds."""
+    """Show one target's load from this node; `latency` is in seconds."""
 
     target: str
     in_rotation: bool
@@ -21,7 +21,7 @@
 
 
 class RoutingExplanation(Struct, frozen=True):
-    """Show a service's queue, budgets, counts and targets at this node."""
+    """Show a service's queue, budgets, counters and targets at this node."""
 
     service: str
     queued: int
--- a/hillfield/routing/feedback.py
+++ b/hillfield/routing/feedback.py
@@ -1,4 +1,4 @@
-"""What is learnt of targets and routes when an attempt ends."""
+"""Updates of target and route measurements when attempts end."""
 
 from typing import Final
 
@@ -35,7 +35,7 @@
     classification: Classification,
     observation: Observation,
 ) -> None:
-    """Tell what is kept of targets and routes how an attempt ended."""
+    """Update the measurements of targets and routes by an ended attempt."""
     seconds = None
     if (
         classification.failed
@@ -58,7 +58,7 @@
 
 
 def apply_report(service: ServiceState, now: float, report: LoadReport) -> None:
-    """Tell what is kept of a target what its gate tells of its room."""
+    """Store a gate's report; end the target's pause if it has free slots."""
     service.capacities.record_report(now, report)
     if report.notice is not None:
         service.notices.record(now, report.target.address, report.notice)
@@ -73,10 +73,10 @@
     attempt: AttemptRecord,
     classification: Classification,
 ) -> None:
-    """Note how long an attempt took, or had taken when another won.
+    """Record an attempt's duration, also if it was cancelled by a hedge.
 
-    Without those cut short the durations would fall with each hedge, and
-    hedges come ever sooner.
+    Without cancelled attempts, measured durations would fall with each hedge,
+    and hedges would be sent earlier and earlier.
     """
     if classification.trigger in TIMED_TRIGGERS:
         plan = attempt.record.arrival.plan
@@ -88,9 +88,9 @@
     attempt: AttemptRecord,
     classification: Classification,
 ) -> bool:
-    """Tell whether a target gets less for a while.
+    """Tell whether the attempt's end should pause its target.
 
-    A time-out says nothing of the room where its gate tells of that itself.
+    A time-out pauses a target only if its gate reports no capacity.
     """
     if classification.trigger is AttemptTrigger.TIMED_OUT:
         return service.capacities.find(attempt.target.id) is None
--- a/hillfield/routing/hedging.py
+++ b/hillfield/routing/hedging.py
@@ -1,8 +1,8 @@
-"""Second attempts of slow lookups, while the first still runs.
+"""Hedging: second attempts of slow requests while the first still runs.
 
-They answer the load of targets that take a request and never answer it
-while their health is good: no connection breaks, so that only time tells.
-A call that hangs costs the work that waits for it as well.
+Hedges cover targets that accept a request and never answer it although their
+health is good: no connection breaks, so only the duration shows the fault. A
+request that hangs also delays the work that waits for it.
 """
 
 from typing import Final
@@ -18,21 +18,21 @@
 SENT_PHASES: Final = frozenset(
     (RequestPhase.SENT, RequestPhase.SENT_DOUBTFUL),
 )
-# Standard deviations above the median at which an attempt is doubted: one in
-# twenty well ones takes longer, and is repeated in vain.
+# Standard deviations above the median after which an attempt is hedged: one in
+# twenty attempts at healthy targets takes longer and is hedged in vain.
 HEDGE_DEVIATIONS: Final = 1.65
-# Bounds of the delay, as parts of the time in which an answer is worth most.
-# After the latest, a second attempt of usual length would come too late;
-# before the soonest, it gains nothing that its caller would notice.
+# Bounds of the delay, as shares of the latency objective (`aim`). With a longer
+# delay, a second attempt of usual duration would be answered too late; a shorter
+# one gains nothing that the caller would notice.
 LATEST_AIM_SHARE: Final = 0.55
 EARLIEST_AIM_SHARE: Final = 0.25
 
 
 def compute_delay(service: ServiceState, plan: RequestPlan) -> float | None:
-    """Return the seconds from an attempt to a second one; None: never.
+    """Return the seconds after which to hedge an attempt; None: never.
 
-    A plan may name them; otherwise they are what few requests of the route
-    exceed, within parts of the time in which an answer is worth most.
+    The plan may set the delay. Otherwise it is a duration that few requests of
+    the route exceed, bounded by shares of the latency objective.
     """
     if plan.hedge_after is not None:
         return plan.hedge_after
@@ -46,7 +46,7 @@
 def hedge(
     service: ServiceState, now: float, record: RequestRecord
 ) -> Send | None:
-    """Send an idempotent request to a second target as well."""
+    """Send an idempotent request to a second target too."""
     possible = (
         _may_hedge(record)
         and now + service.estimate_retry(record) < record.arrival.expires
@@ -66,7 +66,7 @@
     now: float,
     record: RequestRecord,
 ) -> Send | None:
-    """Send an attempt that a gate has declined on, while another lives."""
+    """Replace an attempt that a gate declined while another one runs."""
     if not (_may_hedge(record) and record.has_attempts_left()):
         return None
     target = select_hedge_target(service, now, record)
@@ -83,14 +83,14 @@
 
 
 class Hedging(AttemptProgress):
-    """Say when a request is hedged, and where."""
+    """Decide when a request is hedged, and at which target."""
 
     def find_hedge_delay(self, plan: RequestPlan) -> float | None:
-        """Return the seconds from an attempt to a second one; None: never."""
+        """Return the seconds after which to hedge an attempt; None: never."""
         return compute_delay(self._service, plan)
 
     def hedge(self, now: float, request: str) -> Send | None:
-        """Start a second attempt of a slow request, if the budget allows."""
+        """Start a second attempt of a slow request if the budget allows it."""
         record = self._service.table.requests.get(request)
         if record is None:
             return None
--- a/hillfield/routing/loads.py
+++ b/hillfield/routing/loads.py
@@ -1,4 +1,4 @@
-"""What this node knows of the load of each target."""
+"""Load and latency of each target as measured by this node."""
 
 from dataclasses import dataclass, field
 from math import ceil, exp
@@ -10,25 +10,31 @@
 
 LATENCY_GAIN: Final = 0.2
 DEVIATIONS: Final = 2.0
+# Seconds in which the weight of a target's latency falls to 1/e.
 LATENCY_MEMORY: Final = 10.0
+# Weight of the load that a target reports itself.
 HINT_WEIGHT: Final = 0.5
+# Latency that a failure counts as, in mean latencies of the service.
 FAILURE_FACTOR: Final = 3.0
+# Bound of a target's latency relative to the service's, either way.
 LARGEST_FACTOR: Final = 8.0
+# Growth of a window for each answer, divided by the window.
 WIDENING: Final = 0.1
 LARGEST_WINDOW: Final = 1000.0
+# Draws after which a target is taken whatever its share.
 SHARE_TRIES: Final = 4
 
 
 @dataclass(slots=True)
 class Latency:
-    """Average latency in seconds, exponentially weighted."""
+    """Exponentially weighted average of latency, in seconds."""
 
     mean: float = 0
     deviation: float = 0
     updated: float = 0
 
     def note(self, now: float, seconds: float) -> None:
-        """Take a measured latency."""
+        """Add a measured latency."""
         if self.mean:
             difference = seconds - self.mean
             self.mean += LATENCY_GAIN * difference
@@ -39,11 +45,11 @@
         self.updated = now
 
     def bound(self) -> float:
-        """Return seconds that few latencies exceed (as TCP's timeouts)."""
+        """Return a bound that few latencies exceed (as TCP's timeouts do)."""
         return self.mean + DEVIATIONS * self.deviation
 
     def factor(self, now: float, service: float) -> float:
-        """Return latency relative to the service's; old news fades to 1."""
+        """Return latency relative to the service's; it decays to 1 with age."""
         if not self.mean or not service:
             return 1
         fade = exp((self.updated - now) / LATENCY_MEMORY)
@@ -53,12 +59,14 @@
 
 @dataclass(slots=True, eq=False)
 class TargetLoad:
-    """Hold one target's requests in flight from this node and its pace.
-
-    `near` says that it is in this failure domain, `limit` bounds the requests
-    in flight, `reported_load` is the target's own report in slots, `window` the
-    requests in flight that it has borne (additive increase, multiplicative
-    decrease), `position` its place among the free targets of its tier.
+    """Hold one target's requests in flight from this node and its latency.
+
+    `watched` is a suspected target that needs requests to be decided on,
+    `near` says that it is in this failure domain. `limit` bounds the requests
+    in flight, `window` is a second bound that follows overload (additive
+    increase, multiplicative decrease). `reported_load` is the target's own
+    report in slots, `pauses` counts pauses in a row, `position` is its index
+    among the free targets of its tier.
     """
 
     target: Target
@@ -76,7 +84,7 @@
     tier: 'Tier | None' = None
 
     def adopt(self, candidate: Candidate, allowance: int) -> None:
-        """Take the target's announcement and its share of work."""
+        """Use the target's announcement and its share of requests."""
         target = candidate.target
         self.target = target
         self.share = candidate.share
@@ -86,51 +94,51 @@
         self.reported_load = HINT_WEIGHT * (target.load or 0) * self.limit
 
     def leave_tier(self) -> None:
-        """Take the target out of the rotation's tiers."""
+        """Remove the target from its tier."""
         self.tier = None
         self.position = -1
 
     def is_free(self) -> bool:
-        """Tell whether the target can take a request from this node."""
+        """Tell whether this node may send the target one more request."""
         slots = min(self.limit, self.window)
         return self.in_flight < slots and not self.paused
 
     def shrink_window(self) -> None:
-        """Halve the window after a sign of overload."""
+        """Halve the window after an overload."""
         self.window = max(1, min(self.limit, self.window) / 2)
 
     def grow_window(self) -> None:
-        """Widen the window by one in about ten windows of answers."""
+        """Grow the window by one in about ten windows of answers."""
         wider = self.window + WIDENING / self.window
         self.window = min(LARGEST_WINDOW, wider)
 
     def expected_cost(self, now: float, service: float) -> float:
-        """Return the expected cost of one more request; less is better."""
+        """Return the expected cost of one more request; lower is better."""
         return self.utilization() * self.latency.factor(now, service)
 
     def utilization(self) -> float:
-        """Return the slots in use per slot, with one more request."""
+        """Return the share of slots in use after one more request."""
         foreign = max(0, self.reported_load - self.in_flight)
         return (self.in_flight + foreign + 1) / self.limit
 
 
 class Tier:
-    """Hold the targets at one distance: same domain, same region, other."""
+    """Hold the targets at one distance: same domain, same region or other."""
 
     __slots__ = ('busy', 'capacity', 'free')
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty tier."""
         self.free: list[TargetLoad] = []
         self.capacity = 0
         self.busy: float = 0
 
     def load(self) -> float:
-        """Return busy slots per slot as far as this node can tell."""
+        """Return the share of busy slots as far as this node knows."""
         return self.busy / self.capacity if self.capacity else 1
 
     def update(self, load: TargetLoad) -> None:
-        """Put the target among the free ones, or take it out."""
+        """Add the target to the free ones or remove it, by its state."""
         if load.is_free() == (load.position >= 0):
             return
         if load.position < 0:
@@ -148,7 +156,7 @@
         random: Random,
         excluded: tuple[TargetId, ...],
     ) -> TargetLoad | None:
-        """Pick a free target at random, by share, in constant time."""
+        """Draw a free target at random, weighted by share, in constant time."""
         found = None
         for _ in range(SHARE_TRIES):
             found = self._pick_any(random, excluded)
--- a/hillfield/routing/measurement.py
+++ b/hillfield/routing/measurement.py
@@ -1,6 +1,6 @@
-"""Measure the decisions against the plain baseline.
+"""Compare the routing decisions with the baseline.
 
-`python -m hillfield.routing.measurement` prints one line a measurement.
+`python -m hillfield.routing.measurement` prints one line per measurement.
 """
 
 from random import Random
@@ -53,10 +53,10 @@
 
 
 def measure_choice(targets: int) -> float:
-    """Return microseconds for one request's decisions, median of repeats.
+    """Return the median microseconds that one request's decisions take.
 
-    One request is admitted, written, answered and polled for; all targets
-    are in rotation, and a quarter of their slots stay busy.
+    Each request is admitted, written, answered and polled for, while all
+    targets are in rotation and a quarter of their slots stay busy.
     """
     policy = ServicePolicy(SERVICE)
     board = HealthBoard(policy, LOCALITY)
@@ -70,7 +70,7 @@
 
 
 def measure_setting(setting: Setting, baseline: bool) -> Tally:
-    """Run a setting with the decisions as they stand or the baseline's."""
+    """Run a setting with the usual dispatcher or with the baseline's."""
     if baseline:
         return Bench(setting, BaselineBoard, BaselineDispatcher).run()
     return Bench(setting, HealthBoard, Dispatcher).run()
@@ -80,7 +80,7 @@
     setting: Setting,
     baseline: bool,
 ) -> tuple[float, ...]:
-    """Return answers a second per capacity, at each multiple of it."""
+    """Return goodput per capacity at each load, in multiples of capacity."""
     return tuple(
         measure_setting(
             replace(setting, rate=load * setting.capacity()),
@@ -92,7 +92,7 @@
 
 
 def print_report() -> None:
-    """Measure everything and print it."""
+    """Run and print all measurements."""
     for size in SIZES:
         micro = measure_choice(size)
         stdout.write(f'decision targets={size} microseconds={micro:.1f}\n')
--- a/hillfield/routing/notices.py
+++ b/hillfield/routing/notices.py
@@ -1,4 +1,4 @@
-"""What this node was told that targets say of themselves."""
+"""Notices of targets that this node has received."""
 
 from collections import OrderedDict
 from typing import Final
@@ -7,26 +7,27 @@
 
 from hillfield.model import Address, LifeNotice
 
-# Seconds for which it is told on. A target that leaves serves on for seconds,
-# at times many; a limit counts at a gate that has just started until its first
-# answer, so an old one does no harm.
+# Seconds for which a notice is passed on with requests. A target that leaves
+# keeps serving for seconds, sometimes many. A rate limit counts at a restarted
+# gate only until its target's first answer, so an old one does no harm.
 NOTICE_LIFETIME: Final = 600.0
-# Addresses of one service that are remembered, the latest told.
+# Addresses kept for one service, those with the latest notices.
 MAXIMUM_NOTICES: Final = 512
 
 
 class _ReceivedNotice(Struct, frozen=True):
-    """Hold a notice, and when it was told."""
+    """Hold a notice and when it was received."""
 
     notice: LifeNotice
     received_at: float
 
 
 class ReceivedNotices:
-    """Remember by address what was last told of the life there.
+    """Hold the last notice of the target at each address.
 
-    The gate of a target forgets it when its process ends, and knows the life
-    under another number then: the requests that this node sends there tell it.
+    The gate beside a target loses its notices when the gate's process ends, and
+    knows the target's incarnation under another number after that. Requests
+    that this node sends there return the notice to it.
 
     >>> notices = ReceivedNotices()
     >>> notices.record(0, Address('10.0.0.1', 80), LifeNotice('i-1', 2.5))
@@ -37,18 +38,18 @@
     """
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Start without notices."""
         self._notices: OrderedDict[Address, _ReceivedNotice] = OrderedDict()
 
     def record(self, now: float, address: Address, notice: LifeNotice) -> None:
-        """Take what a gate has told."""
+        """Store a notice that a gate has reported."""
         self._notices[address] = _ReceivedNotice(notice, now)
         self._notices.move_to_end(address)
         if len(self._notices) > MAXIMUM_NOTICES:
             self._notices.popitem(last=False)
 
     def find(self, now: float, address: Address) -> LifeNotice | None:
-        """Return what was told of a target there; None: nothing lately."""
+        """Return the notice of the target there; None if there is no recent one."""
         received = self._notices.get(address)
         if received is None:
             return None
--- a/hillfield/routing/pauses.py
+++ b/hillfield/routing/pauses.py
@@ -1,4 +1,4 @@
-"""Short pauses of targets that shed."""
+"""Short pauses of targets that have shed requests."""
 
 from heapq import heapify, heappop, heappush
 from random import Random
@@ -6,16 +6,18 @@
 
 from hillfield.routing.loads import TargetLoad
 
+# Bounds of a pause in seconds, before jitter.
 FIRST_PAUSE: Final = 0.005
 LONGEST_PAUSE: Final = 0.25
+# Pauses in a row after which they double no further.
 PAUSES_COUNTED: Final = 8
 
 
 class Pauses:
-    """Begin and end pauses; a pause doubles with each shed in a row.
+    """Begin and end pauses; they double with each shed in a row.
 
-    Many nodes share a target, so that its slots can be full while this node
-    has nothing in flight there. The shed answer is the only sure sign.
+    Many nodes share a target, so its slots can be full while this node has
+    nothing in flight there. Only the shed answer shows that reliably.
     """
 
     def __init__(self, random: Random) -> None:
@@ -25,13 +27,13 @@
         self._count = 0
 
     def begin(self, now: float, load: TargetLoad, base: float) -> None:
-        """Pause a target for about `base` seconds or longer."""
+        """Pause a target for about `base` seconds, or longer in a row."""
         if load.paused:
             return
         load.shrink_window()
         seconds = max(FIRST_PAUSE, base) * 2**load.pauses
         load.pauses = min(load.pauses + 1, PAUSES_COUNTED)
-        # Nodes that were refused together must not come back together.
+        # Jitter keeps nodes that were refused together from retrying together.
         jitter = (1 + self._random.random()) / 2
         load.paused = True
         self._count += 1
@@ -42,7 +44,7 @@
             load.tier.update(load)
 
     def cancel(self, load: TargetLoad) -> None:
-        """End a target's pause now; the next one is short again."""
+        """End a target's pause now and reset the length of the next one."""
         load.pauses = 0
         kept = [entry for entry in self._ends if entry[2] is not load]
         if len(kept) < len(self._ends):
@@ -51,11 +53,11 @@
             _end(load)
 
     def next_end(self) -> float | None:
-        """Return when the next pause ends; None without any."""
+        """Return when the next pause ends; None if there is none."""
         return self._ends[0][0] if self._ends else None
 
     def end(self, now: float) -> None:
-        """End the pauses whose time is over."""
+        """End the pauses that have expired."""
         while self._ends and self._ends[0][0] <= now:
             _end(heappop(self._ends)[2])
 
--- a/hillfield/routing/phases.py
+++ b/hillfield/routing/phases.py
@@ -1,4 +1,4 @@
-"""State charts of requests and attempts, in this code's own types."""
+"""State charts of requests and attempts, bound to enumerations."""
 
 from enum import StrEnum
 from importlib.resources import files
@@ -34,7 +34,7 @@
 
 
 class AttemptAction(StrEnum):
-    """Name what an attempt's step means to its request."""
+    """Name what a step of an attempt means for its request."""
 
     NONE = 'none'
     NOT_RUN = 'not-run'
@@ -67,7 +67,7 @@
 
 
 class RequestAction(StrEnum):
-    """Name what a request's step means to its caller."""
+    """Name what a step of a request means for its caller."""
 
     NONE = 'none'
     TELL_NOT_RUN = 'tell-not-run'
--- a/hillfield/routing/placement.py
+++ b/hillfield/routing/placement.py
@@ -1,8 +1,9 @@
-"""Which target gets a request, where gates tell of their room.
+"""Selection of targets by the free capacity that their gates report.
 
-This answers bytes between failure domains that are dear, and targets of the
-own one that are full: a request crosses only if a slot is known or likely to
-be free there, and if waiting nearby would make its answer late.
+Bytes between failure domains are expensive, and the targets of the own failure
+domain may be full: a request leaves its failure domain only if a slot is known
+or likely to be free elsewhere, and waiting nearby would make its answer late.
+Targets of the own failure domain are called near.
 """
 
 from hillfield.model import Target, TargetId
@@ -17,7 +18,7 @@
     record: RequestRecord,
     excluded: tuple[TargetId, ...] = (),
 ) -> Target | None:
-    """Return the target for the next attempt; None: none can take it."""
+    """Return the target for the next attempt; None if none can take it."""
     trial = service.can_be_trial(record)
     if not service.capacities.has_reports(now):
         return service.choose(now, excluded, trial=trial)
@@ -34,7 +35,7 @@
     now: float,
     record: RequestRecord,
 ) -> Target | None:
-    """Return a target with room for a second attempt beside the first."""
+    """Return a target with a free slot for a hedge, near ones first."""
     if not service.capacities.has_reports(now):
         return service.choose(now, record.tried)
     withholding = service.list_withholding(now, record)
@@ -52,7 +53,7 @@
     now: float,
     excluded: tuple[TargetId, ...],
 ) -> Target | None:
-    """Return a target nearby whose gate asks for a trial."""
+    """Return a near target whose gate awaits a trial."""
     awaiting = service.capacities.list_awaiting_trial(now)
     if not awaiting:
         return None
@@ -73,7 +74,7 @@
     withholding = service.list_withholding(now, record)
     quarantined = service.capacities.list_quarantined(now)
     found = choose(now, (*without_slot, *withholding), near=True)
-    # One that is merely suspected nearby goes before a way across.
+    # A suspected near target is preferred to leaving the failure domain.
     found = found or choose(now, (*without_slot, *quarantined), near=True)
     if found is not None:
         return found
@@ -87,10 +88,10 @@
     excluded: tuple[TargetId, ...],
     withholding: tuple[TargetId, ...],
 ) -> Target | None:
-    """Return the target where no room is known nearby; None: wait here.
+    """Return the target if no near one has a free slot; None: wait here.
 
-    Where no way across promises a slot, none is taken: a request that comes
-    back declined costs its bytes twice.
+    A request leaves the failure domain only if a slot is expected to be free
+    there: one that is declined has cost its bytes in vain.
     """
     choose = service.selector.choose
     avoided = (*excluded, *withholding)
@@ -115,7 +116,7 @@
     *,
     near: bool,
 ) -> bool:
-    """Tell whether a request that waits at a gate is still worth most."""
+    """Tell whether a wait at a gate still meets the latency objective."""
     plan = record.arrival.plan
     wait = _estimate_slot_wait(service, near)
     if wait is None or not plan.aim:
@@ -125,7 +126,7 @@
 
 
 def _estimate_slot_wait(service: ServiceState, near: bool) -> float | None:
-    """Return the least seconds until a slot is free, if it is known."""
+    """Estimate the least seconds until a slot is free, if any are reported."""
     mean = service.selector.latency.mean
     waits: list[float] = []
     for target, load in service.selector.loads.items():
@@ -138,7 +139,7 @@
 def _estimate_target_wait(
     target: Target, capacity: ReportedCapacity, mean: float
 ) -> float:
-    """Return the seconds until one more finds a slot, and its turn."""
+    """Estimate the seconds until a slot and the rate limit admit one more."""
     slot = (capacity.waiting + 1) * mean / target.slots
     return slot if capacity.rate is None else max(slot, capacity.wait)
 
@@ -148,7 +149,7 @@
     now: float,
     record: RequestRecord,
 ) -> Target | None:
-    """Return the target for a request that has waited here."""
+    """Return the target for a request that has waited at this node."""
     service.selector.adopt(service.board.rotation())
     return select_freed_target(service, now, ()) or select_target(
         service, now, record
@@ -160,7 +161,7 @@
     now: float,
     excluded: tuple[TargetId, ...],
 ) -> Target | None:
-    """Return the target that has just answered, unless gates tell of room."""
+    """Return the target that has just answered, unless gates report capacity."""
     if service.capacities.has_reports(now):
         return None
     return service.selector.choose_freed(now, excluded)
--- a/hillfield/routing/ports.py
+++ b/hillfield/routing/ports.py
@@ -1,4 +1,4 @@
-"""What the request path needs of the decisions."""
+"""Protocols through which the request path asks for routing decisions."""
 
 from typing import Protocol
 
@@ -8,16 +8,16 @@
 
 
 class Dispatching(Protocol):
-    """Decide for one service; `now` is monotonic seconds."""
+    """Make the decisions for one service; `now` is in monotonic seconds."""
 
     def admit(self, now: float, arrival: Arrival) -> Verdict:
         """Decide on a new request: send it, queue it or refuse it."""
 
     def note_written(self, now: float, attempt: int) -> None:
-        """Note that the attempt's first byte is about to be written."""
+        """Record that the attempt's first byte is about to be written."""
 
     def note_head(self, now: float, attempt: int) -> None:
-        """Note that the head of the attempt's answer has come."""
+        """Record that the head of the attempt's answer has arrived."""
 
     def note_notice(
         self,
@@ -25,13 +25,13 @@
         attempt: int,
         notice: TargetNotice,
     ) -> None:
-        """Take what a target says of itself in an attempt's answer."""
+        """Record the notice that a target put into an attempt's answer."""
 
     def adopt_report(self, now: float, report: LoadReport) -> None:
-        """Take what an answer tells of its target's room."""
+        """Apply the free capacity of a target that its gate reported."""
 
     def note_silent(self, now: float, attempt: int) -> None:
-        """Note that the other end gave no sign of life in time."""
+        """Record that no keepalive for the attempt arrived in time."""
 
     def finish(
         self,
@@ -39,26 +39,26 @@
         attempt: int,
         observation: Observation,
     ) -> Verdict:
-        """End an attempt and decide what becomes of its request."""
+        """End an attempt and decide how its request continues."""
 
     def find_hedge_delay(self, plan: RequestPlan) -> float | None:
-        """Return the seconds from an attempt to a second one; None: never."""
+        """Return the seconds after which to hedge an attempt; None: never."""
 
     def hedge(self, now: float, request: str) -> Send | None:
-        """Start a second attempt of a slow request, if the budget allows."""
+        """Start a second attempt of a slow request if the budget allows it."""
 
     def leave(self, now: float, request: str) -> None:
-        """Forget a request whose caller went away while it was queued."""
+        """Drop a queued request whose caller has disconnected."""
 
     def poll(self, now: float) -> tuple[Verdict, ...]:
-        """Return verdicts for queued requests; call after finish, in ticks."""
+        """Return decisions for queued requests; call after finish and in ticks."""
 
     def next_due(self) -> float | None:
-        """Return when a poll may move queued requests; None: at events."""
+        """Return when `poll` may send queued requests; None: after events only."""
 
 
 class Dispatchers(Protocol):
-    """Find the dispatcher of a service."""
+    """Provide the dispatcher of each service."""
 
     def for_service(self, service: str) -> Dispatching:
-        """Return the dispatcher; it refuses where no target is known."""
+        """Return the dispatcher; it refuses requests if no target is known."""
--- a/hillfield/routing/progress.py
+++ b/hillfield/routing/progress.py
@@ -1,4 +1,4 @@
-"""What a dispatcher is told of attempts under way."""
+"""Progress of attempts as reported by the request path."""
 
 from hillfield.model import TargetNotice
 from hillfield.routing.phases import AttemptTrigger
@@ -7,25 +7,25 @@
 
 
 class AttemptProgress:
-    """Take notes of a service's attempts."""
+    """Record the progress of a service's attempts."""
 
     def __init__(self, service: ServiceState) -> None:
-        """Take notes for this service."""
+        """Record the attempts of this service."""
         self.board = service.board
         self._service = service
 
     def note_written(self, now: float, attempt: int) -> None:
-        """Note that the attempt's first byte is about to be written."""
+        """Record that the attempt's first byte is about to be written."""
         found = self._service.table.find(attempt)
         if found is not None:
             found.follow(AttemptTrigger.WRITE)
             self.board.note_started(now, found.target.id, attempt)
 
     def note_silent(self, now: float, attempt: int) -> None:
-        """Note that the other end gave no sign of life in time."""
+        """Record that no keepalive for the attempt arrived in time."""
         found = self._service.table.find(attempt)
         if found is not None:
-            lost = NothingWritten('no sign of life')
+            lost = NothingWritten('no keepalive arrived in time')
             self.board.observe(now, found.target.id, attempt, lost)
 
     def note_notice(
@@ -34,10 +34,10 @@
         attempt: int,
         notice: TargetNotice,
     ) -> None:
-        """Ignore it: the gate of the target obeys what it says."""
+        """Ignore the notice: the target's gate applies it."""
 
     def note_head(self, now: float, attempt: int) -> None:
-        """Note that the head of the attempt's answer has come."""
+        """Record that the head of the attempt's answer has arrived."""
         found = self._service.table.find(attempt)
         if found is not None:
             found.follow(AttemptTrigger.HEAD)
--- a/hillfield/routing/queueorder.py
+++ b/hillfield/routing/queueorder.py
@@ -1,13 +1,13 @@
-"""Whose turn it is among requests that wait."""
+"""Order of waiting requests."""
 
 from msgspec import Struct
 
 
 class QueueOrder(Struct, frozen=True, order=True):
-    """Order requests that wait for one service: the least goes first.
+    """Order the requests that wait for one service: the least goes first.
 
-    `long` says that it takes about as long as others or longer, `priority` is
-    the rank that its route has (0 is the highest).
+    `long` says that a request takes about as long as others or longer,
+    `priority` is that of its route (0 is the highest).
 
     >>> QueueOrder(long=False, priority=2) < QueueOrder(long=True, priority=0)
     True
--- a/hillfield/routing/queues.py
+++ b/hillfield/routing/queues.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a slot, fair between client accounts."""
+"""Queue of requests that wait for a slot, fair between client accounts."""
 
 from bisect import bisect_left, bisect_right
 from collections import OrderedDict
@@ -9,41 +9,42 @@
 from hillfield.routing.records import RequestRecord
 from hillfield.routing.queueorder import QueueOrder
 
+# Largest share of the deadline that a first attempt is assumed to take.
 FIRST_DEADLINE_SHARE: Final = 0.9
 
 
 class FairQueue:
-    """Serve accounts one after the other, each by the turns of its requests.
+    """Serve accounts in round robin, the requests of each by queue order.
 
-    Those of one account whose turns are alike go in order of arrival, but for
-    quick ones: there the newest goes first, since it has most time left.
-    Requests cost one unit each, so that deficit round robin (Shreedhar and
-    Varghese, 1995) comes down to plain turns.
+    Requests of one account with equal queue order are served first in, first
+    out, except for quick ones: those are served last in, first out, since the
+    newest has most time left. Each request costs one unit, which reduces
+    deficit round robin (Shreedhar and Varghese, 1995) to plain round robin.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty queue."""
         self._queues: OrderedDict[str, list[RequestRecord]] = OrderedDict()
         self._length = 0
 
     def __len__(self) -> int:
-        """Return how many requests wait."""
+        """Return the number of waiting requests."""
         return self._length
 
     def __iter__(self) -> Iterator[RequestRecord]:
-        """Yield the requests that wait; none may be taken out meanwhile."""
+        """Yield the waiting requests; do not change the queue meanwhile."""
         return chain.from_iterable(self._queues.values())
 
     def count_accounts(self) -> int:
-        """Return how many accounts wait."""
+        """Return how many accounts have waiting requests."""
         return len(self._queues)
 
     def count_waiting(self, account: str) -> int:
-        """Return how many requests of the account wait."""
+        """Return the number of the account's waiting requests."""
         return len(self._queues.get(account, ()))
 
     def push(self, record: RequestRecord) -> None:
-        """Let a request wait among those of its account."""
+        """Add a request to the queue of its account."""
         account = record.arrival.plan.account
         requests = self._queues.setdefault(account, [])
         place = bisect_right if record.queue_order.long else bisect_left
@@ -53,11 +54,11 @@
         self._length += 1
 
     def peek(self) -> RequestRecord:
-        """Return the request whose turn it is."""
+        """Return the next request without removing it."""
         return next(iter(self._queues.values()))[0]
 
     def pop(self) -> RequestRecord:
-        """Take the first request of the account whose turn it is."""
+        """Remove and return the first request of the next account."""
         account, requests = next(iter(self._queues.items()))
         record = requests.pop(0)
         self._length -= 1
@@ -68,7 +69,7 @@
         return record
 
     def remove(self, record: RequestRecord) -> None:
-        """Take a request out, wherever it waits."""
+        """Remove a request, if it is queued."""
         account = record.arrival.plan.account
         requests = self._queues.get(account)
         if requests is None or record not in requests:
@@ -79,11 +80,11 @@
             self._queues.pop(account)
 
     def longest_length(self) -> int:
-        """Return how many wait of the account with the most waiting."""
+        """Return the length of the longest queue of an account."""
         return max(map(len, self._queues.values()), default=0)
 
     def evict(self) -> RequestRecord:
-        """Take the last in turn of the account with the most waiting."""
+        """Remove and return the last request of the longest queue."""
         requests = max(self._queues.values(), key=len)
         record = requests[-1]
         self.remove(record)
@@ -93,7 +94,7 @@
         self,
         is_over: Callable[[RequestRecord], bool],
     ) -> tuple[RequestRecord, ...]:
-        """Take out the requests whose wait is over."""
+        """Remove and return the requests for which `is_over` is true."""
         over = tuple(
             record
             for requests in self._queues.values()
@@ -106,14 +107,14 @@
 
 
 def get_queue_order(record: RequestRecord) -> QueueOrder:
-    """Return when a request goes among those that wait."""
+    """Return the queue order of a request."""
     return record.queue_order
 
 
 def is_late(start: float, need: float, record: RequestRecord) -> bool:
-    """Tell whether a first attempt at this time would not end in time.
+    """Tell whether a first attempt at `start` would miss the deadline.
 
-    What is sent too late costs a slot and brings nothing, so that the need
+    A request sent too late uses a slot in vain, so the estimated duration
     counts up to nearly the whole deadline.
     """
     bound = record.bound_duration(need, FIRST_DEADLINE_SHARE)
--- a/hillfield/routing/ratelimits.py
+++ b/hillfield/routing/ratelimits.py
@@ -1,8 +1,8 @@
-"""Whether all targets of a service take no more than they name; pure.
+"""Refusal of requests while all targets of a service are at a rate limit.
 
-This answers a service whose targets are in need at the same time: together they
-take less than is asked, so what can't begin in time would only wait, and be
-handed from gate to gate, until its answer is worth little.
+If the targets together accept fewer requests than arrive, a request that can't
+start in time would only wait and be passed from gate to gate until its answer
+is of little use; it is refused at once instead.
 """
 
 from math import modf
@@ -16,11 +16,12 @@
 from hillfield.routing.capacity import ReportedCapacity
 from hillfield.routing.service import ServiceState
 
-# The fractions of its multiples lie as far apart as can be, however many there
-# are (the golden ratio), so that those refused together don't return together.
+# The golden ratio: the fractions of its multiples are spread evenly, however many
+# there are, so that callers refused together do not retry together.
 SPREAD_RATIO: Final = 0.618
-# Seconds for which a gate is believed that no turn is left: it tells only some of
-# the nodes that use its target, and others hear of a turn only by asking.
+# Seconds for which a gate's report of an exhausted limit counts: a gate reports
+# to some of the nodes that use its target only, and the others learn that it
+# accepts requests again only by sending one.
 EXHAUSTION_LIFETIME: Final = 1.0
 
 
@@ -29,10 +30,10 @@
     now: float,
     record: RequestRecord,
 ) -> Cause | None:
-    """Return why a request can't be served in time, if limits are why.
+    """Return the cause if rate limits rule out an answer in time.
 
-    It can't where no target takes it before its answer would come later than
-    it is worth most; the cause says when the first of them takes one.
+    That is if no target accepts the request early enough to meet its latency
+    objective; the cause says when the first target accepts one.
     """
     plan = record.arrival.plan
     wait = _compute_wait(service, now) if plan.aim else None
@@ -45,16 +46,16 @@
     return Cause(
         EventCode.SERVICE_LIMITED,
         Step.ADMIT,
-        'all targets take no more requests than they name',
+        'all targets of the service are at their rate limits',
         wait * (1 + spread),
     )
 
 
 def _compute_wait(service: ServiceState, now: float) -> float | None:
-    """Return the seconds until a target takes one more, as last told.
+    """Return the seconds until a target accepts a request, as last reported.
 
-    None: one may take it now, not all name a limit, or none has told lately.
-    Those whose gates hold usual work back take none.
+    None if a target may accept one now, not all have a limit, or no report is
+    recent. Targets whose gates withhold usual work accept none.
     """
     loads = service.selector.loads
     used = (target for target in loads if loads[target].tier is not None)
@@ -71,6 +72,6 @@
 
 
 def _is_exhausted(capacity: ReportedCapacity) -> bool:
-    """Tell whether a target's limit, or its gate, leaves no turn now."""
+    """Tell whether a target's limit, or its gate, admits no request now."""
     bound = capacity.rate is not None or capacity.withheld >= Held.USUAL
     return bound and capacity.free <= 0
--- a/hillfield/routing/readings.py
+++ b/hillfield/routing/readings.py
@@ -1,4 +1,4 @@
-"""What each observation means for its attempt and its caller."""
+"""Classification of observations for attempts, targets and callers."""
 
 from functools import singledispatch
 from http import HTTPStatus
@@ -26,11 +26,12 @@
 
 
 class Classification(Struct, frozen=True):
-    """Hold an observation's trigger and what to tell if all else fails.
+    """Hold the chart trigger of an observation and how to report a failure.
 
-    `status` is the answer's status if the request may have run,
-    `same_target` says whether the same target may be tried again when no
-    other is in rotation, `failed` whether it speaks against the target.
+    `status` is the status of the answer to the caller if the request may have
+    run. `same_target` says whether the same target may be tried again if no
+    other is in rotation, `failed` whether the attempt is a failure of the
+    target.
     """
 
     trigger: AttemptTrigger
@@ -45,8 +46,8 @@
 
 @singledispatch
 def read_observation(observation: Observation) -> Classification:
-    """Return the reading of an observation."""
-    raise TypeError(f'no reading of {type(observation).__name__}')
+    """Return what an observation means."""
+    raise TypeError(f'unknown observation: {type(observation).__name__}')
 
 
 @read_observation.register
@@ -113,7 +114,7 @@
         trigger,
         EventCode.REQUEST_TIMED_OUT,
         status=GATEWAY_TIMEOUT,
-        detail='no whole answer came in time',
+        detail='no complete answer arrived in time',
     )
 
 
--- a/hillfield/routing/records.py
+++ b/hillfield/routing/records.py
@@ -1,4 +1,4 @@
-"""Requests and attempts that have not ended."""
+"""Table of the requests and attempts in flight."""
 
 from dataclasses import dataclass, field
 from typing import Final
@@ -20,19 +20,21 @@
 from hillfield.routing.queueorder import QueueOrder
 
 MAXIMUM_UNSENT: Final = 6
-# A gate that declines costs a few milliseconds and its target nothing.
+# Larger than the bound above: a decline costs a few milliseconds and puts no
+# load on the target.
 MAXIMUM_DECLINED: Final = 24
 
 
 @dataclass(slots=True, eq=False)
 class RequestRecord:
-    """Follow one request.
-
-    `live` numbers its attempts that have not ended, `any_written` says whether
-    any of its bytes was written, so that only a body held whole can be sent
-    again, `unsent_attempts` how many attempts ended before any byte was written,
-    `declined_by` the targets whose nodes would not hand it over, `started` when
-    it was admitted, `queue_order` when it goes among those that wait.
+    """Track one request.
+
+    `live` holds the numbers of its attempts that have not ended. `any_written`
+    says whether any byte of it was written; after that it can be sent again
+    only if its complete body is buffered. `unsent_attempts` counts attempts
+    that ended before a byte was written, `declined_by` lists the targets whose
+    gates declined it, `started` is when it was admitted, `queue_order` its
+    position among waiting requests.
     """
 
     arrival: Arrival
@@ -49,7 +51,7 @@
     queue_order: QueueOrder = QueueOrder()
 
     def follow(self, trigger: RequestTrigger) -> RequestAction | None:
-        """Take a step of the chart; None when the chart has none."""
+        """Apply a trigger to the chart; return None if it has no such step."""
         step = REQUEST_CHART.follow(self.phase, trigger)
         if isinstance(step, Refusal):
             return None
@@ -58,14 +60,14 @@
 
     @property
     def sent(self) -> int:
-        """Return how many attempts a target may have seen."""
+        """Return how many attempts may have reached a target."""
         return len(self.tried) - self.unsent_attempts
 
     def has_attempts_left(self) -> bool:
         """Tell whether the plan allows one more attempt.
 
-        Attempts that no target saw have a bound of their own: while many
-        targets refuse connections, a living one may be the fifth to be met.
+        Attempts that reached no target have a separate bound: while many
+        targets refuse connections, the first live one may be the fifth tried.
         """
         if self.sent >= self.arrival.plan.maximum_attempts:
             return False
@@ -74,17 +76,18 @@
         return unsent <= MAXIMUM_UNSENT and declined <= MAXIMUM_DECLINED
 
     def compute_elapsed(self, now: float) -> float:
-        """Return the seconds since the request began."""
+        """Return the seconds since the request was admitted."""
         return 0 if self.started is None else now - self.started
 
     def has_ended(self) -> bool:
-        """Tell whether the caller has been given its verdict."""
+        """Tell whether the final decision on the request has been made."""
         return self.phase is RequestPhase.ENDED
 
     def bound_duration(self, seconds: float, share: float) -> float:
-        """Return the seconds of an attempt, at most a share of the deadline.
+        """Limit an attempt's estimated seconds to a share of the deadline.
 
-        A latency of requests of other kinds must not shut out quick ones.
+        Otherwise an estimate that stems from slower kinds of requests would
+        refuse quick ones.
         """
         return min(seconds, self.arrival.plan.deadline * share)
 
@@ -98,10 +101,11 @@
 
 @dataclass(slots=True, eq=False)
 class AttemptRecord:
-    """Follow one attempt; `hung` says that it was counted as too long.
+    """Track one attempt; `hung` says that it was counted as overdue.
 
-    `weight` is what its age has added to its target's score, `missed` the
-    seconds in which this node read no answers: they don't count for its age.
+    `weight` is what its age has added to its target's health score, `missed`
+    the seconds in which this node read no answers; they are left out of the
+    attempt's age.
     """
 
     number: int
@@ -114,11 +118,11 @@
     missed: float = 0
 
     def find_age(self, now: float) -> float:
-        """Return the seconds in which an answer would have been read."""
+        """Return the attempt's age in seconds, without missed time."""
         return now - self.started - self.missed
 
     def follow(self, trigger: AttemptTrigger) -> AttemptAction:
-        """Take a step of the chart."""
+        """Apply a trigger to the chart and return the step's action."""
         step = ATTEMPT_CHART.follow(self.phase, trigger)
         if isinstance(step, Refusal):
             return AttemptAction.NONE
@@ -127,17 +131,17 @@
 
 
 class Ledger:
-    """Find requests and attempts; count what comes too late."""
+    """Hold requests and attempts in flight; count late observations."""
 
     def __init__(self) -> None:
-        """Start empty."""
+        """Create an empty table."""
         self.requests: dict[str, RequestRecord] = {}
         self.attempts: dict[int, AttemptRecord] = {}
         self.strays = 0
         self.sends = 0
 
     def open(self, arrival: Arrival) -> RequestRecord:
-        """Start to follow a request."""
+        """Add a request."""
         record = RequestRecord(arrival)
         self.requests[arrival.request] = record
         return record
@@ -160,19 +164,19 @@
         )
 
     def find(self, number: int) -> AttemptRecord | None:
-        """Return an attempt that has not ended, or count a stray."""
+        """Return an attempt in flight; None, and a stray counted, if it ended."""
         attempt = self.attempts.get(number)
         if attempt is None:
             self.strays += 1
         return attempt
 
     def excuse(self, now: float, seconds: float) -> None:
-        """Leave the last seconds out of the age of each attempt."""
+        """Leave the last seconds out of the age of every attempt."""
         for attempt in self.attempts.values():
             attempt.missed += min(seconds, attempt.find_age(now))
 
     def close(self, attempt: AttemptRecord) -> None:
-        """Forget an attempt that has ended."""
+        """Remove an attempt that has ended."""
         self.attempts.pop(attempt.number)
         attempt.record.live.remove(attempt.number)
 
@@ -181,7 +185,7 @@
         record: RequestRecord,
         trigger: RequestTrigger,
     ) -> RequestAction | None:
-        """End a request; its attempts that still live stay known."""
+        """End and remove a request; its attempts in flight stay in the table."""
         action = record.follow(trigger)
         self.requests.pop(record.arrival.request, None)
         return action
--- a/hillfield/routing/recovery.py
+++ b/hillfield/routing/recovery.py
@@ -1,4 +1,4 @@
-"""What becomes of a request when an attempt ends."""
+"""How a request continues when one of its attempts ends."""
 
 from typing import Final
 
@@ -35,6 +35,7 @@
 from hillfield.routing.service import ServiceState
 from hillfield.routing.feedback import record_end
 
+# Mean latencies for which the last attempt after a shed waits for a freed slot.
 FREED_SLOT_WAIT: Final = 2.0
 MAY_HAVE_RUN: Final = frozenset((AttemptAction.DOUBT, AttemptAction.ABANDON))
 
@@ -45,7 +46,7 @@
     attempt: AttemptRecord,
     observation: Observation,
 ) -> Verdict:
-    """End an attempt and decide what becomes of its request."""
+    """End an attempt and decide how its request continues."""
     record = attempt.record
     classification = read_observation(observation)
     written = attempt.phase is not AttemptPhase.CONNECTING
@@ -77,7 +78,7 @@
     classification: Classification,
 ) -> Verdict:
     if record.live:
-        # The other attempt may still bring the answer.
+        # The other attempt may still be answered.
         again = None
         if classification.trigger is AttemptTrigger.DECLINED:
             again = replace_declined(service, now, record)
@@ -93,7 +94,7 @@
     record: RequestRecord,
     classification: Classification,
 ) -> Verdict:
-    """Start the next attempt, let it wait for a slot, or give up."""
+    """Start the next attempt, let it wait for a slot, or refuse the request."""
     excluded = _find_excluded(service, record, classification)
     if excluded is None:
         return _give_up(service, record, classification, 'no other target')
@@ -115,7 +116,7 @@
 
 
 def serve_retries(service: ServiceState, now: float) -> tuple[Verdict, ...]:
-    """Send the retries that have found a slot, in their turns."""
+    """Send waiting retries to free slots, in queue order."""
     decisions: list[Verdict] = []
     waiting = sorted(service.waiting_retries, key=get_queue_order)
     service.waiting_retries.clear()
@@ -135,14 +136,14 @@
     reason: str,
 ) -> Refuse:
     cause = describe_reading(classification)
-    told = replace(cause, detail=f'{cause.detail}, {reason}')
-    return refuse(service, record, told)
+    detailed = replace(cause, detail=f'{cause.detail}, {reason}')
+    return refuse(service, record, detailed)
 
 
 def _awaits_freed_slot(
     record: RequestRecord, classification: Classification
 ) -> bool:
-    """Tell whether the next attempt should wait for a slot known as free."""
+    """Tell whether the next attempt should wait for a slot known to be free."""
     last = len(record.tried) >= record.arrival.plan.maximum_attempts - 1
     return last and classification.trigger is AttemptTrigger.SHED
 
@@ -181,7 +182,7 @@
     record: RequestRecord,
     classification: Classification,
 ) -> tuple[TargetId, ...] | None:
-    """Return the targets not to try; None when no target is left to try."""
+    """Return the targets to exclude; None if no target would be left."""
     selector = service.selector
     selector.adopt(service.board.rotation())
     if selector.has_other(record.tried):
--- a/hillfield/routing/refusals.py
+++ b/hillfield/routing/refusals.py
@@ -1,4 +1,4 @@
-"""Final answers to requests that the dispatcher gives up on."""
+"""Failures with which the dispatcher ends requests."""
 
 from http import HTTPStatus
 from typing import Final
@@ -19,15 +19,16 @@
 
 UNAVAILABLE: Final[int] = HTTPStatus.SERVICE_UNAVAILABLE
 TOO_MANY: Final[int] = HTTPStatus.TOO_MANY_REQUESTS
+# Seconds after which callers are told to retry.
 DEFAULT_RETRY_AFTER: Final = 1.0
 SHORTEST_RETRY_AFTER: Final = 0.05
 
 
 class Cause(Struct, frozen=True):
-    """Say why a request ends.
+    """Hold why a request is refused.
 
-    `status` is for a request that did not run, `doubtful_status` for one
-    that may have run.
+    `status` answers a request that did not run, `doubtful_status` one that may
+    have run.
     """
 
     event: EventCode
@@ -39,7 +40,7 @@
 
 
 def describe_reading(classification: Classification) -> Cause:
-    """Return the cause for an attempt that failed."""
+    """Return the cause of a refusal that follows a failed attempt."""
     return Cause(
         classification.event,
         classification.step,
@@ -50,7 +51,7 @@
 
 
 def describe_expiry() -> Cause:
-    """Return the cause for a wait after which no answer comes in time."""
+    """Return the cause for a wait too long for an answer in time."""
     return Cause(
         EventCode.EXPIRED_IN_QUEUE,
         Step.ADMIT,
@@ -62,7 +63,7 @@
 def refuse(
     service: ServiceState, record: RequestRecord, cause: Cause
 ) -> Refuse:
-    """End a request of a service and count it."""
+    """End a request with a failure and count it."""
     failure = end_refused(service.table, record, cause)
     service.counters.refused += 1
     service.counters.unknown += failure.outcome is Outcome.UNKNOWN
@@ -74,7 +75,7 @@
     record: RequestRecord,
     cause: Cause,
 ) -> RequestFailure:
-    """End a request; its chart alone says what the caller is told."""
+    """End a request; its chart decides which outcome is reported."""
     action = table.end(record, RequestTrigger.REFUSE)
     if action is RequestAction.TELL_NOT_RUN:
         return _build_failure(record, cause, Outcome.NOT_RUN, cause.status)
--- a/hillfield/routing/repeats.py
+++ b/hillfield/routing/repeats.py
@@ -1,4 +1,4 @@
-"""Whether a further attempt of a request may follow, and what it costs."""
+"""Retries: whether another attempt is allowed, and what it costs."""
 
 from typing import Final
 
@@ -22,13 +22,13 @@
     record: RequestRecord,
     classification: Classification,
 ) -> str:
-    """Return why no further attempt may follow; else take what it costs."""
+    """Charge the budget for a retry; return why it is refused, if it is."""
     if not _may_repeat(record):
         return 'no attempt is left'
     if now + service.estimate_retry(record) >= record.arrival.expires:
         return 'no time is left'
     if not _consume_budget(service, record, classification):
-        return 'no repeat is left'
+        return 'the retry budget is used up'
     return ''
 
 
@@ -47,7 +47,7 @@
     classification: Classification,
 ) -> bool:
     if classification.trigger is AttemptTrigger.DECLINED:
-        # It cost the target nothing; the record bounds how often.
+        # A decline costs the target nothing; the record bounds their number.
         return True
     if classification.trigger in UNSENT_TRIGGERS:
         return service.budget.consume_unsent()
--- a/hillfield/routing/requests.py
+++ b/hillfield/routing/requests.py
@@ -1,8 +1,8 @@
 """Messages between the request path and the decisions.
 
-The request path (effects) reports what it saw as an `Observation`; the
-dispatcher (pure) answers with a `Verdict`. All times are seconds of one
-monotonic clock, passed in as values.
+The request path, which does all input and output, reports each event as an
+`Observation`; the dispatcher, which does none, returns a `Verdict`. All times
+are seconds of one monotonic clock and are passed in as values.
 """
 
 from msgspec import Struct
@@ -19,11 +19,11 @@
 
 
 class Arrival(Struct, frozen=True):
-    """Announce a request that has been read, authenticated and planned.
+    """Describe a new request that has been read, authenticated and planned.
 
-    `replayable` says whether the request's body is held whole, so that a
-    second attempt can send the same bytes, `fingerprint` tells the request
-    when it comes again under another id (empty: not taken).
+    `replayable` says whether the complete body is buffered, so that another
+    attempt can send the same bytes. `fingerprint` identifies the request if it
+    is received again under another id (empty: not computed).
     """
 
     request: str
@@ -34,12 +34,12 @@
 
 
 class Send(Struct, frozen=True):
-    """Send the request to this target, as attempt `attempt` (unique).
+    """Send the request to this target as attempt `attempt` (unique).
 
-    `trial` says that it could be sent once more elsewhere if this attempt
-    fails, `urgency` which targets it takes, `spent` the seconds since the
-    request was first sent, `told` what this node was told of the target at
-    this address.
+    `trial` says that the request can be retried at another target if this
+    attempt fails, `urgency` how healthy its target has to be, `spent` the
+    seconds since the request was admitted, `told` the last notice received
+    from the target at this address.
     """
 
     request: str
@@ -53,20 +53,20 @@
 
 
 class Wait(Struct, frozen=True):
-    """Hold the request: it is queued; `poll` gives its next verdict."""
+    """Keep the request queued; `poll` returns the next decision on it."""
 
     request: str
 
 
 class Refuse(Struct, frozen=True):
-    """Answer the caller with this failure; the request has ended."""
+    """Answer the caller with this failure, which ends the request."""
 
     request: str
     failure: RequestFailure
 
 
 class Done(Struct, frozen=True):
-    """Nothing more to do for the request."""
+    """Do nothing more for the request."""
 
     request: str
 
@@ -75,7 +75,7 @@
 
 
 class ConnectFailed(Struct, frozen=True):
-    """No connection could be had; not a byte of the request was written."""
+    """No connection was established; no byte of the request was written."""
 
     detail: str
 
@@ -87,15 +87,15 @@
 
 
 class Shed(Struct, frozen=True):
-    """The target refused by the documented shed answer: it did not run."""
+    """The target sent the documented shed answer: the request did not run."""
 
     retry_after: float | None = None
 
 
 class Broken(Struct, frozen=True):
-    """The connection ended after a byte was written, before a whole answer.
+    """The connection ended after a byte was written, without a complete answer.
 
-    `relayed` says that the caller has already had the answer's head.
+    `relayed` says that the answer's head was already forwarded to the caller.
     """
 
     detail: str
@@ -103,15 +103,15 @@
 
 
 class TimedOut(Struct, frozen=True):
-    """No whole answer came in time after a byte was written."""
+    """No complete answer arrived in time after a byte was written."""
 
     relayed: bool = False
 
 
 class Answered(Struct, frozen=True):
-    """A whole answer came; `wrong` by the plan's checks, with a reason.
+    """A complete answer arrived; `wrong` says which check of the plan failed.
 
-    A wrong answer whose head has been relayed cannot be retried.
+    After a wrong answer whose head was forwarded, the request can't be retried.
     """
 
     status: int
@@ -120,7 +120,7 @@
 
 
 class CallerGone(Struct, frozen=True):
-    """The caller went away or another attempt won; the attempt was cut."""
+    """The attempt was cancelled: its caller left or another attempt won."""
 
 
 Observation = (
--- a/hillfield/routing/reselection.py
+++ b/hillfield/routing/reselection.py
@@ -1,4 +1,4 @@
-"""Choose the next target of a request that has been at others."""
+"""Selection of the next target for a request that was sent before."""
 
 from typing import Final
 
@@ -7,10 +7,10 @@
 from hillfield.routing.records import RequestRecord
 from hillfield.routing.service import ServiceState
 
-# Gates of other failure domains that a request asks at once, and the seconds
-# after which it asks one more: where all are full the answer is the same.
-# On an overloaded day of 31 hosts 8,300 of 9,500 requests sent across were
-# declined, at 3.4 kB each.
+# Gates of other failure domains that a request tries at once, and the seconds
+# after which it tries one more: if all targets are full, more gates decline too.
+# In an overload of 31 hosts, 8,300 of 9,500 requests sent to other failure
+# domains were declined, at 3.4 kB each.
 FAR_AT_ONCE: Final = 3
 FAR_INTERVAL: Final = 0.1
 
@@ -21,10 +21,10 @@
     record: RequestRecord,
     excluded: tuple[TargetId, ...],
 ) -> Target | None:
-    """Choose a target that is not excluded, or one nearby once more.
+    """Choose a target that is not excluded, or a near one once more.
 
-    Each gate of another failure domain that declines costs the bytes of the
-    request across, so after a few they are asked one by one.
+    Each decline in another failure domain costs the bytes of the request
+    between the domains, so after a few declines one gate is tried at a time.
     """
     if _count_far(service, record) >= _compute_allowance(now, record):
         return service.choose(now, record.tried[-1:], near=True)
--- a/hillfield/routing/retention.py
+++ b/hillfield/routing/retention.py
@@ -1,10 +1,10 @@
-"""Compare ways to decide how long an idle connection is kept.
+"""Comparison of policies for how long to keep an idle connection.
 
-Keeping is renting and opening anew is buying, as in the ski-rental problem.
-`python -m hillfield.routing.retention` prints what each way costs over
-seeded gaps between the uses of a connection, relative to the least cost of
-one who knows each gap beforehand. See docs/design/routing.md: a fixed
-timeout stays in use.
+This is the ski-rental problem: keeping a connection is renting, opening a new
+one is buying. `python -m hillfield.routing.retention` prints the cost of each
+policy over seeded gaps between uses of a connection, relative to the optimum of
+a policy that knows each gap in advance. A fixed timeout is in use; see
+docs/design/routing.md.
 """
 
 from collections.abc import Callable
@@ -28,35 +28,35 @@
 
 
 def keep_fixed(random: Random, break_even: float) -> float:
-    """Return a fixed keep time in seconds."""
+    """Return a fixed timeout in seconds."""
     return FIXED_TIMEOUT
 
 
 def keep_to_break_even(random: Random, break_even: float) -> float:
     """Return the time after which keeping has cost as much as opening.
 
-    It costs at most twice the least cost (Karlin, Manasse, Rudolph and
+    The cost is at most twice the optimum (Karlin, Manasse, Rudolph and
     Sleator, "Competitive snoopy caching", 1988).
     """
     return break_even
 
 
 def keep_at_random(random: Random, break_even: float) -> float:
-    """Draw a keep time with density exp(t/b) / (b (e - 1)) up to b.
+    """Draw a timeout with density exp(t/b) / (b (e - 1)) up to b.
 
-    It costs at most e / (e - 1) of the least cost on average, whatever the
-    gaps; the paper on retention-aware container caching draws so too.
+    The mean cost is at most e / (e - 1) times the optimum for any gaps; the
+    paper on retention-aware container caching uses the same distribution.
     """
     return break_even * log1p(random.random() * (EULER - 1))
 
 
 def draw_even_gap(random: Random, mean: float) -> float:
-    """Draw a gap between uses that come independently."""
+    """Draw a gap between independent uses (exponential)."""
     return random.expovariate(1 / mean)
 
 
 def draw_burst_gap(random: Random, mean: float) -> float:
-    """Draw a gap between uses that mostly come in bursts."""
+    """Draw a gap between uses that mostly occur in bursts."""
     if random.random() < BURST_SHARE:
         return random.expovariate(1 / (BURST_FACTOR * mean))
     rest = (1 - BURST_SHARE * BURST_FACTOR) / (1 - BURST_SHARE)
@@ -64,7 +64,7 @@
 
 
 def draw_tail_gap(random: Random, mean: float) -> float:
-    """Draw a gap with a heavy tail."""
+    """Draw a gap from a heavy-tailed distribution (Pareto)."""
     return mean * (1 - 1 / TAIL) * random.paretovariate(TAIL)
 
 
@@ -74,7 +74,7 @@
     break_even: float,
     mean: float,
 ) -> float:
-    """Return the cost relative to one who knows each gap beforehand."""
+    """Return the cost relative to the optimum with known gaps."""
     gaps = Random(SEED)
     choices = Random(SEED)
     price = OPENING / break_even
@@ -91,7 +91,7 @@
 
 
 def print_costs() -> None:
-    """Print the cost of each way for each kind of gaps."""
+    """Print the cost of each policy for each kind of gaps."""
     for drawing in (draw_even_gap, draw_burst_gap, draw_tail_gap):
         for break_even in BREAK_EVENS:
             for mean in MEAN_GAPS:
--- a/hillfield/routing/roomviews.py
+++ b/hillfield/routing/roomviews.py
@@ -1,4 +1,4 @@
-"""What operators are shown of a service's room, as one node knows it."""
+"""Reported capacity of a service's targets as shown to operators."""
 
 from msgspec import Struct
 
@@ -8,12 +8,11 @@
 
 
 class RoomExplanation(Struct, frozen=True):
-    """Show one target's room; `age` is seconds since its gate told it.
+    """Show one target's capacity; `age` is the seconds since it was reported.
 
     `free` and `waiting` count slots and requests at its gate, `held` names the
-    work that the gate holds back, `in_flight` counts this node's requests,
-    `rate` is the requests a second that the target takes (None: it names no
-    limit).
+    work that the gate withholds, `in_flight` counts this node's requests, and
+    `rate` is the target's limit in requests a second (None: no limit).
     """
 
     target: str
@@ -30,7 +29,7 @@
 def explain_capacities(
     service: ServiceState, now: float
 ) -> tuple[RoomExplanation, ...]:
-    """Return the room of each target whose gate has told of it."""
+    """Return the capacity of each target whose gate has reported it."""
     service.selector.adopt(service.board.rotation())
     service.capacities.has_reports(now)
     known = (
--- a/hillfield/routing/selection.py
+++ b/hillfield/routing/selection.py
@@ -1,8 +1,8 @@
 """Choice of the target for one attempt.
 
-Two targets are drawn at random by share and the one with the lower expected
-cost is taken (Mitzenmacher, "The power of two choices in randomized load
-balancing", 2001). A choice costs the same at 30 targets and at 1,000.
+Two targets are drawn at random, weighted by share, and the one with the lower
+expected cost is chosen (Mitzenmacher, "The power of two choices in randomized
+load balancing", 2001). A choice takes as long with 30 targets as with 1,000.
 """
 
 from random import Random
@@ -13,14 +13,18 @@
 from hillfield.routing.loads import FAILURE_FACTOR, Latency, TargetLoad, Tier
 from hillfield.routing.pauses import Pauses
 
+# Load of a nearer tier from which targets farther away are used as well.
 SPILL_LOAD: Final = 0.75
+# Seconds for which a slot that this node has released counts as still free.
 FREED_SECONDS: Final = 0.005
+# Share of choices that take the first drawn target whatever its cost, so that
+# the latency of costly targets is measured again.
 EXPLORATION: Final = 0.05
 TIERS: Final = 3
 
 
 class Selector:
-    """Choose targets within the rotation, their slots and their distance."""
+    """Choose targets by rotation, free slots, distance and expected cost."""
 
     def __init__(self, locality: Locality, random: Random) -> None:
         """Start without targets."""
@@ -36,12 +40,12 @@
         self._freed: TargetLoad | None = None
 
     def adopt_allowances(self, allowances: dict[TargetId, int]) -> None:
-        """Take how many connections this node may open to each target."""
+        """Set how many connections this node may open to each target."""
         self._allowances = allowances
         self._rotation = None
 
     def adopt(self, rotation: Rotation) -> None:
-        """Take the rotation; costs nothing unless it has changed."""
+        """Use this rotation; return at once if it is the present one."""
         if rotation is self._rotation:
             return
         self._rotation = rotation
@@ -70,10 +74,10 @@
         now: float,
         excluded: tuple[TargetId, ...] = (),
     ) -> Target | None:
-        """Return the target that has just answered, if it is still free.
+        """Return the target that has just answered, if it still has a slot.
 
-        Where many nodes share targets that are full, the slot that this node
-        has given back is the only one that it knows to be free.
+        If many nodes share targets that are full, the slot that this node
+        released is the only one that it knows to be free.
         """
         load = self._freed
         self._freed = None
@@ -91,9 +95,9 @@
         *,
         near: bool = False,
     ) -> Target | None:
-        """Return the target for an attempt, or None when none is free.
+        """Return the target for an attempt, or None if none is free.
 
-        `near` leaves out those of other failure domains.
+        `near` limits the choice to the own failure domain.
         """
         self.pauses.end(now)
         tiers = self._tiers[:1] if near else self._order_tiers()
@@ -104,7 +108,7 @@
         return None
 
     def record_sent(self, target: TargetId) -> None:
-        """Count a request in flight."""
+        """Count a request that was sent to the target."""
         load = self.loads[target]
         load.in_flight += 1
         if load.tier is not None:
@@ -118,10 +122,10 @@
         seconds: float | None,
         failed: bool,
     ) -> None:
-        """Count a request as ended; `seconds` is None when it tells nothing.
+        """Count a request as ended; `seconds` is None if not a measurement.
 
-        A target that fails fast must not look quick, so that a failure
-        counts as several times the service's latency.
+        A failure counts as several times the service's latency, so that a
+        target that fails fast does not look quick.
         """
         load = self.loads.get(target)
         if load is None:
@@ -143,10 +147,10 @@
         load.latency.note(now, seconds)
 
     def pause(self, now: float, target: TargetId) -> None:
-        """Send less to a target that shed or timed out, first nothing.
+        """Pause a target that shed or timed out, and shrink its window.
 
-        When to come back, as the target's answer says it, is for callers:
-        the field's least is a second, of which slots are free many times.
+        The answer's Retry-After is meant for callers and not used here: its
+        least value is 1 s, in which slots become free many times.
         """
         load = self.loads.get(target)
         if load is not None:
@@ -193,8 +197,8 @@
         if second is None:
             return first
         if first.watched or second.watched:
-            # A suspected target is not left alone for its latency: what
-            # nobody asks can neither be convicted nor cleared.
+            # Latency is ignored for a suspected target: without requests it
+            # could be neither ejected nor cleared.
             return (
                 second if second.utilization() < first.utilization() else first
             )
--- a/hillfield/routing/service.py
+++ b/hillfield/routing/service.py
@@ -1,4 +1,4 @@
-"""All that one node keeps of one service's traffic."""
+"""State that one node keeps for the traffic of one service."""
 
 from collections import deque
 from dataclasses import dataclass, field
@@ -28,11 +28,12 @@
 from hillfield.routing.selection import Selector
 from hillfield.routing.urgency import compute_urgency
 
-# A retry is worth a try when it may be quicker than most.
+# Largest share of a request's deadline that a retry is assumed to take: a retry
+# may be quicker than most attempts, so it is tried with less time left.
 RETRY_DEADLINE_SHARE: Final = 0.5
 
-# Standard deviations above the median: nine in ten are answered by then. What
-# is sent later ends as unknown more often than its callers should see.
+# Standard deviations above the median by which nine in ten attempts are answered.
+# Requests sent with less time left end with an unknown outcome too often.
 LIKELY_DEVIATIONS: Final = 1.28
 
 MILLISECOND_DIGITS: Final = 3
@@ -40,7 +41,7 @@
 
 @dataclass(slots=True)
 class Counters:
-    """Count what became of requests since the node started."""
+    """Count requests by their outcome since the node started."""
 
     admitted: int = 0
     refused: int = 0
@@ -51,11 +52,12 @@
 
 @dataclass(slots=True)
 class ServiceState:
-    """Hold the parts that decide for one service.
+    """Hold the state that the decisions for one service share.
 
-    `waiting_retries` are requests whose next attempt waits for a slot, `pending_refusals`
-    refusals that the next poll hands out, `without_target_since` is when no target
-    was first found (None: there are some).
+    `waiting_retries` are requests whose next attempt waits for a slot,
+    `pending_refusals` are returned by the next poll, `scanned_at` is when the
+    queue was last searched for requests to refuse, `without_target_since` is
+    the time since which no target has been known (None: some are known).
     """
 
     policy: ServicePolicy
@@ -77,7 +79,7 @@
     without_target_since: float | None = None
 
     def expects_target(self, now: float) -> bool:
-        """Tell whether targets are known, or may soon be."""
+        """Tell whether targets are known or may become known soon."""
         self.selector.adopt(self.board.rotation())
         if self.selector.capacity:
             self.without_target_since = None
@@ -96,8 +98,8 @@
     ) -> Target | None:
         """Choose a target in the present rotation.
 
-        A target whose gate holds work back is the last choice, but for a
-        trial, which that gate waits for.
+        A target whose gate declined recently is chosen last, except for a
+        trial, which such a gate may be waiting for.
         """
         self.selector.adopt(self.board.rotation())
         held = () if trial else self.recent_declines.list_targets(now)
@@ -111,24 +113,26 @@
         now: float,
         record: RequestRecord,
     ) -> tuple[TargetId, ...]:
-        """Return the targets whose gates hold such work back.
+        """Return the targets whose gates withhold this kind of work.
 
-        What a gate has told itself goes before what its declines have said.
+        A gate's own report takes precedence over its recent declines.
         """
         trial = self.can_be_trial(record)
-        told = self.capacities.list_withholding(now, record.arrival.plan, trial)
+        reported = self.capacities.list_withholding(
+            now, record.arrival.plan, trial
+        )
         if trial:
-            return told
+            return reported
         declining = self.recent_declines.list_targets(now)
-        untold = (
+        unreported = (
             target
             for target in declining
             if self.capacities.find(target) is None
         )
-        return (*told, *untold)
+        return (*reported, *unreported)
 
     def send(self, now: float, record: RequestRecord, target: Target) -> Send:
-        """Start an attempt."""
+        """Start an attempt of the request at the target."""
         capacity = self.capacities.find(target.id)
         allow_suspected = (
             capacity is not None and capacity.withheld is Held.ONCE
@@ -145,7 +149,7 @@
         )
 
     def cancel(self, request: str) -> None:
-        """Drop a request that waits, or a refusal not yet handed out."""
+        """Drop a waiting request, or a refusal that no poll has returned yet."""
         self.pending_refusals = [
             refusal
             for refusal in self.pending_refusals
@@ -160,11 +164,11 @@
         self.table.end(record, RequestTrigger.LEAVE)
 
     def count_waiting(self) -> int:
-        """Return how many requests wait."""
+        """Return how many requests wait for a slot."""
         return len(self.queue) + len(self.waiting_retries)
 
     def estimate_wait(self, now: float, position: int) -> float:
-        """Return the seconds until the request at this position is sent."""
+        """Estimate the seconds until the request at this position is sent."""
         slots = max(1, self.selector.capacity)
         return self.departures.estimate_wait(
             now,
@@ -173,18 +177,19 @@
         )
 
     def estimate_retry(self, record: RequestRecord) -> float:
-        """Return the seconds that another attempt takes as a rule."""
+        """Estimate the seconds that one more attempt of the request takes."""
         return record.bound_duration(
             self.estimate_duration(record), RETRY_DEADLINE_SHARE
         )
 
     def estimate_duration(self, record: RequestRecord) -> float:
-        """Return the seconds that an attempt of such a request takes.
+        """Estimate the seconds that an attempt of such a request takes.
 
-        Calls that take a tenth of what other requests to the service take
-        must not be refused for the length of those; and where a service is
-        crowded, requests with little time are served only if they wait as
-        long as they are likelier than not to be answered.
+        The estimate is per route: requests that take a tenth of the service's
+        usual duration must not be refused because others take long. With a
+        latency objective (`aim`) it is the median, so that under overload
+        requests with little time left wait as long as an answer in time is
+        more likely than not.
         """
         plan = record.arrival.plan
         if plan.aim:
@@ -194,20 +199,20 @@
         return self.bound_latency()
 
     def bound_latency(self) -> float:
-        """Return the seconds that few attempts exceed."""
+        """Return a latency in seconds that few attempts exceed."""
         return self.selector.latency.bound()
 
     def can_be_trial(self, record: RequestRecord) -> bool:
-        """Tell whether the next attempt may try a doubtful target.
+        """Tell whether the next attempt may be a trial of an unhealthy target.
 
-        Once a gate has declined it, it goes where it is welcome.
+        A request that a gate has declined is no longer used for trials.
         """
         if record.declined_by:
             return False
         return self._can_retry(record, record.sent + 1)
 
     def _can_retry(self, record: RequestRecord, sent: int) -> bool:
-        """Tell whether one more attempt may follow so many if they fail."""
+        """Tell whether another attempt may follow `sent` failed ones."""
         plan = record.arrival.plan
         if not (plan.idempotent and record.arrival.replayable):
             return False
@@ -221,6 +226,6 @@
     board: Board,
     random: Random,
 ) -> ServiceState:
-    """Return an empty service."""
+    """Return the state of a service that has had no traffic."""
     selector = Selector(locality, random)
     return ServiceState(policy, board, selector, RetryBudget(policy))
--- a/hillfield/routing/subsets.py
+++ b/hillfield/routing/subsets.py
@@ -11,12 +11,13 @@
 LARGEST_SUBSET: Final = 32
 SMALLEST_SUBSET: Final = 2
 LOCAL_TARGETS: Final = 2
-# Part of a subset that is of the own failure domain, where it has so many: a
-# third of 16 sick and one lost leave 30 slots of three a target for the one or
-# two requests that a node has under way. Without it 35 near targets among 178
-# gave a node six, and the rest of its requests crossed failure domains.
+# Share of a subset taken from the own failure domain, if it has so many targets.
+# Of 16 targets with 3 slots each, a third unhealthy and one lost leave 30 slots
+# for the one or two requests that a node has in flight. Without this share, 35
+# near targets among 178 gave a node six, and its other requests left the domain.
 LOCAL_SHARE: Final = 0.5
-# Nodes per target scatter as a binomial count; three deviations leave room.
+# The nodes of a target are binomially distributed; 3 standard deviations are a
+# sufficient margin.
 DEVIATIONS: Final = 3
 
 
@@ -27,10 +28,10 @@
 ) -> tuple[Target, ...]:
     """Return this node's targets by rendezvous hashing.
 
-    The source is Thaler and Ravishankar, "Using name-based mappings to
-    increase hit rates" (1998). A target that comes or goes changes one place
-    in the subsets that hold it and nothing in the others. Draining targets
-    are kept, so that their state is known; they take no place.
+    See Thaler and Ravishankar, "Using name-based mappings to increase hit
+    rates" (1998). Adding or removing a target changes one place in the subsets
+    that contain it, and no other subset. Draining targets are added beyond the
+    subset's size, so that their state stays known.
     """
     live = tuple(target for target in targets if _is_live(target))
     size = compute_subset_size(live, nodes)
@@ -49,7 +50,7 @@
     locality: Locality,
     size: int,
 ) -> tuple[Target, ...]:
-    """Return the first of the own failure domain."""
+    """Return the highest-ranked targets of the own failure domain."""
     here = locality.failure_domain
     near = (one for one in ranked if one.locality.failure_domain == here)
     most = max(LOCAL_TARGETS, int(LOCAL_SHARE * size))
@@ -59,8 +60,8 @@
 def compute_subset_size(targets: tuple[Target, ...], nodes: int) -> int:
     """Return how many targets each node may use.
 
-    Small services are used whole, unless that many nodes would exceed the
-    connection limit of the targets with one connection each.
+    Nodes use all targets of a small service, unless one connection from each
+    node would exceed the targets' connection limit.
     """
     count = len(targets)
     if not count:
@@ -104,7 +105,7 @@
 
 
 class _Rank:
-    """Order targets by their hash with one host."""
+    """Rank targets by the hash of their address and one host."""
 
     def __init__(self, host: str) -> None:
         self._host = host
--- a/hillfield/routing/table.py
+++ b/hillfield/routing/table.py
@@ -13,6 +13,7 @@
 from hillfield.routing.explanations import RoutingExplanation
 from hillfield.routing.requests import Verdict
 
+# Seconds after which a lower number of nodes counts.
 FEWER_NODES_DELAY: Final = 7200.0
 BoardFactory = Callable[[ServicePolicy, Locality], Board]
 DispatcherFactory = Callable[
@@ -20,12 +21,14 @@
     Dispatcher,
 ]
 
+# Seconds without use after which an idle service is ticked less often, and the
+# number of ticks of which it then gets one.
 QUIET_AFTER: Final = 30.0
 QUIET_TICKS: Final = 10
 
 
 class DispatcherTable:
-    """Create dispatchers as services become known, and find them."""
+    """Hold the dispatchers, created as services become known."""
 
     def __init__(
         self,
@@ -34,9 +37,9 @@
         random: Random,
         dispatcher_factory: DispatcherFactory = Dispatcher,
     ) -> None:
-        """Start without services.
+        """Create a table without services.
 
-        `board_factory` is `HealthBoard`; only measurements use other kinds.
+        `board_factory` is `HealthBoard`, except in measurements.
         """
         self._locality = locality
         self._board_factory = board_factory
@@ -52,7 +55,7 @@
         self._node_count_updated: float = 0
 
     def for_service(self, service: str) -> Dispatcher:
-        """Return the dispatcher; it refuses where no target is known."""
+        """Return the dispatcher; it refuses requests if no target is known."""
         self._recently_asked.add(service)
         found = self._dispatchers.get(service)
         if found is None:
@@ -68,9 +71,9 @@
         return found
 
     def find(self, service: str) -> Dispatcher | None:
-        """Return the dispatcher, if there is one, for a look at it.
+        """Return the dispatcher if there is one.
 
-        Unlike `for_service` it doesn't count as use of the service.
+        Unlike `for_service`, this doesn't count as use of the service.
         """
         return self._dispatchers.get(service)
 
@@ -79,18 +82,18 @@
         return tuple(self._dispatchers)
 
     def adopt_policy(self, now: float, policy: ServicePolicy) -> None:
-        """Take a service's new policy into force."""
+        """Use a service's new policy."""
         self.for_service(policy.service).adopt_policy(now, policy)
 
     def adopt_nodes(self, now: float, nodes: int) -> None:
-        """Take how many nodes live; they share the connection limits.
+        """Set the number of nodes that share the connection limits.
 
-        Fewer nodes count only after two hours: regions lose each other for
-        an hour now and then.
+        A lower number counts only after two hours, since regions are at times
+        partitioned from each other for an hour.
         """
         if nodes >= self._nodes:
             self._node_count_updated = now
-        # Nodes that a partition hides still hold their connections.
+        # Nodes behind a partition still hold their connections.
         hidden = (
             nodes < self._nodes
             and now - self._node_count_updated < FEWER_NODES_DELAY
@@ -108,7 +111,7 @@
         service: str,
         targets: tuple[Target, ...],
     ) -> None:
-        """Take all announced targets of a service."""
+        """Replace the announced targets of a service."""
         self._targets[service] = targets
         dispatcher = self.for_service(service)
         dispatcher.adopt_targets(now, targets, self._nodes)
@@ -120,7 +123,7 @@
         domain: str,
         evidence: tuple[Evidence, ...],
     ) -> None:
-        """Take all that another node tells, in place of what it told."""
+        """Replace all evidence received from another node."""
         by_service: dict[str, list[Evidence]] = {
             service: [] for service in self._reported_services.get(node, ())
         }
@@ -137,10 +140,10 @@
                 board.adopt_evidence(now, node, domain, tuple(pieces))
 
     def tick(self, now: float) -> tuple[Occurrence, ...]:
-        """Return what has changed since the last tick; call each 0.1 s.
+        """Return the events since the last tick; call every 0.1 s.
 
-        Idle services that have not been used for a while take turns, so
-        that each of them is ticked about once a second.
+        Idle services that have not been used for a while are ticked in
+        rotation, each about once a second.
         """
         self._used.update(dict.fromkeys(self._recently_asked, now))
         self._recently_asked.clear()
@@ -158,7 +161,7 @@
         )
 
     def poll(self, now: float) -> tuple[Verdict, ...]:
-        """Return verdicts for queued requests of all services."""
+        """Return decisions for queued requests of all services."""
         return tuple(
             chain.from_iterable(
                 dispatcher.poll(now)
@@ -167,7 +170,7 @@
         )
 
     def evidence(self, now: float) -> tuple[Evidence, ...]:
-        """Return what to tell other nodes."""
+        """Return the evidence to send to other nodes."""
         return tuple(
             chain.from_iterable(
                 dispatcher.board.evidence(now)
@@ -176,6 +179,6 @@
         )
 
     def explain(self, now: float, service: str) -> RoutingExplanation | None:
-        """Explain a service's decisions; None when it isn't known here."""
+        """Return the state of a service's decisions; None if it's unknown."""
         found = self._dispatchers.get(service)
         return None if found is None else found.explain(now)
--- a/hillfield/routing/urgency.py
+++ b/hillfield/routing/urgency.py
@@ -1,23 +1,23 @@
-"""Which targets a request takes, after so many have declined it."""
+"""How healthy a target must be, by how many gates declined the request."""
 
 from typing import Final
 
 from hillfield.model import Urgency
 from hillfield.routing.records import RequestRecord
 
-# Gates that have declined a request before it takes a suspected target: a
-# target under suspicion is well more often than not, and others of its failure
-# domain have been asked by then, which takes 1 ms each.
+# Declines after which a request accepts a suspected target: such a target is
+# healthy more often than not, and others of its failure domain have been tried
+# by then, which takes 1 ms each.
 SUSPECTED_DECLINES: Final = 2
-# Gates that have declined a request before it asks one to take it anyway: a
-# doubtful target answers half of what it gets, and nobody else would.
+# Declines after which a request accepts a quarantined target: such a target
+# answers half of its requests, and no other target is left.
 QUARANTINED_DECLINES: Final = 6
-# Seconds that a request first looks for a gate that takes it gladly: a slot
-# of 4 is free again about so soon, and a shunned target is judged anew.
+# Seconds for which a request first looks for a healthy target: within about
+# this time one of 4 slots is free again, and a quarantined target is tested.
 QUARANTINED_SECONDS: Final = 0.25
-# Seconds after which it goes to a target whatever the odds there: work that
-# runs once is lost with a target that ends most of it, and an answer that
-# comes late is worth something.
+# Seconds after which it accepts any target. A request that must not be repeated
+# is lost at a target that breaks most requests, so this is the last resort, but a
+# late answer is still worth something.
 ANY_SECONDS: Final = 1.0
 
 
@@ -26,9 +26,9 @@
     record: RequestRecord,
     allow_suspected: bool = False,
 ) -> Urgency:
-    """Return which targets the request's next attempt takes.
+    """Return which targets the request's next attempt accepts.
 
-    `settles` says that its target was chosen though it is suspected.
+    `allow_suspected` says that the chosen target is known to be suspected.
     """
     declined = len(record.declined_by)
     if declined < QUARANTINED_DECLINES:
--- a/hillfield/routing/waiting.py
+++ b/hillfield/routing/waiting.py
@@ -1,4 +1,4 @@
-"""Which requests go first, and how long one waits for a slot."""
+"""Order of waiting requests, and how long one may wait for a slot."""
 
 from collections.abc import Iterator
 from itertools import chain
@@ -8,13 +8,13 @@
 from hillfield.routing.service import ServiceState
 from hillfield.routing.queueorder import QueueOrder
 
-# Times in which an answer is worth most after which a wait has been in vain:
-# late is bearable, so that a short crowd is waited out.
+# Multiple of the latency objective (`aim`) within which an answer is still worth
+# a wait: more than 1, so that requests wait through a short overload.
 STALE_AIM_FACTOR: Final = 1.5
 
 
 def is_quick(service: ServiceState, record: RequestRecord) -> bool:
-    """Tell whether a request is short beside others to its service."""
+    """Tell whether a request is short compared to the service's mean."""
     mean = service.selector.latency.mean
     return service.durations.is_quick(record.arrival.plan, mean)
 
@@ -22,10 +22,10 @@
 def compute_queue_order(
     service: ServiceState, record: RequestRecord
 ) -> QueueOrder:
-    """Return when a request goes among those that wait.
+    """Return the order of a request among those that wait.
 
-    This answers a crowd: while there are fewer slots than requests, those
-    that hold up others least go first, then those whose routes rank highest.
+    Under overload, requests that occupy a slot for the shortest time are served
+    first, then those whose routes have the highest priority.
     """
     return QueueOrder(
         long=not is_quick(service, record),
@@ -34,25 +34,25 @@
 
 
 def precedes_waiting(service: ServiceState, order: QueueOrder) -> bool:
-    """Tell whether a newcomer may look for a slot before those that wait."""
+    """Tell whether a new request may take a slot before all waiting ones."""
     if not (service.count_waiting() and order.long):
         return True
     return all(order < record.queue_order for record in _list_waiting(service))
 
 
 def count_ahead(service: ServiceState, order: QueueOrder) -> int:
-    """Return how many wait that go before a newcomer with this turn."""
+    """Return how many waiting requests precede a new one of this order."""
     waiting = _list_waiting(service)
     return sum(record.queue_order <= order for record in waiting)
 
 
 def is_stale(service: ServiceState, now: float, record: RequestRecord) -> bool:
-    """Tell whether a request that waits has waited long enough.
+    """Tell whether a waiting request should be refused as too late.
 
-    This answers a crowd: what can no longer come in the time in which it is
-    worth most would take the slot of one that can, or wait to its deadline in
-    vain; its caller is told when to come back instead. Quick ones wait on:
-    running work waits for them.
+    Under overload, a request that can't be answered within a multiple of its
+    latency objective would take the slot of one that can, or wait in vain until
+    its deadline; instead its caller learns when to retry. Quick requests keep
+    waiting, since running requests depend on them.
     """
     plan = record.arrival.plan
     if not plan.aim or is_quick(service, record):
