--- a/hillfield/holding/tests/test_holders.py
+++ b/hillfield/holding/tests/test_holders.py
@@ -1,4 +1,4 @@
-"""What requests take and give back."""
+"""Bytes that requests reserve and release."""
 
 # Tests are untyped.
 # mypy: disable-error-code="no-untyped-call"
@@ -15,7 +15,7 @@
     return (budget.requests.total, budget.answers.total, budget.target.total)
 
 
-def test_a_request_takes_room_here_and_at_the_target():
+def test_a_request_reserves_bytes_here_and_at_the_target():
     budget = make_budget(LIMITS)
     holder = Holder(budget, 'baker')
     assert not holder.reserve(100, 400)
@@ -29,7 +29,7 @@
     assert read_totals(budget) == (0, 0, 0)
 
 
-def test_each_pool_refuses_for_itself():
+def test_each_pool_refuses_separately():
     budget = make_budget(LIMITS)
     assert not Holder(budget, 'baker').reserve(500, 500)
     assert 'body' in Holder(budget, 'baker').reserve(1, 1)
@@ -44,7 +44,7 @@
     assert not Holder(budget, 'other').reserve(0, 0)
 
 
-def test_an_unknown_length_counts_as_it_comes():
+def test_an_unknown_length_counts_as_it_is_received():
     budget = make_budget(LIMITS)
     holder = Holder(budget, 'baker')
     holder.reserve(10, 0)
@@ -56,7 +56,7 @@
     assert read_totals(budget) == (0, 0, 0)
 
 
-def test_without_limits_all_is_let_in():
+def test_without_limits_everything_is_admitted():
     budget = make_budget(make_limits(None))
     assert not Holder(budget, 'baker').reserve(10**12, 10**12)
     assert not Holder(budget, 'baker').reserve(10**12, 10**12)
@@ -75,7 +75,7 @@
 
 
 @given(st.lists(CALLS))
-def test_in_any_order_all_is_given_back_once(calls):
+def test_in_any_order_all_bytes_are_released_once(calls):
     budget = make_budget(LIMITS)
     holder = Holder(budget, 'baker')
     holder.reserve(100, 400)
--- a/hillfield/holding/tests/test_pools.py
+++ b/hillfield/holding/tests/test_pools.py
@@ -1,4 +1,4 @@
-"""Shares of one number of bytes."""
+"""Shares of a byte pool."""
 
 # Tests are untyped.
 # mypy: disable-error-code="no-untyped-call"
@@ -14,15 +14,15 @@
 STEPS = st.lists(STEP)
 
 
-class Play:
-    """Let accounts ask for room and give it back."""
+class PoolUsers:
+    """Let accounts reserve and release bytes."""
 
     def __init__(self):
         self.pool = BytePool(LIMIT)
         self.held = []
 
-    def step(self, account, size, gives_back):
-        if gives_back and self.held:
+    def step(self, account, size, releases):
+        if releases and self.held:
             owner, amount = self.held.pop(0)
             self.pool.change(owner, -amount)
         elif self.pool.admits(account, size):
@@ -31,23 +31,23 @@
 
 
 @given(STEPS)
-def test_what_is_admitted_stays_under_the_limit(steps):
-    play = Play()
-    for account, size, gives_back in steps:
-        play.step(account, size, gives_back)
-        assert play.pool.total <= LIMIT
-        assert play.pool.total == sum(size for _, size in play.held)
+def test_admitted_bytes_stay_below_the_limit(steps):
+    users = PoolUsers()
+    for account, size, releases in steps:
+        users.step(account, size, releases)
+        assert users.pool.total <= LIMIT
+        assert users.pool.total == sum(size for _, size in users.held)
 
 
 @given(STEPS)
-def test_all_given_back_leaves_nothing(steps):
-    play = Play()
-    for account, size, gives_back in steps:
-        play.step(account, size, gives_back)
-    while play.held:
-        play.step('a', 0, gives_back=True)
-    assert not play.pool.total
-    assert not play.pool._held
+def test_no_account_is_left_when_all_is_released(steps):
+    users = PoolUsers()
+    for account, size, releases in steps:
+        users.step(account, size, releases)
+    while users.held:
+        users.step('a', 0, releases=True)
+    assert not users.pool.total
+    assert not users.pool._held
 
 
 @given(st.integers(1, LIMIT // 8))
@@ -68,7 +68,7 @@
     assert LIMIT - pool.total >= LIMIT // 3
 
 
-def test_what_is_alone_passes_at_any_size():
+def test_an_empty_pool_admits_any_size():
     pool = BytePool(LIMIT)
     assert pool.admits('a', 2 * LIMIT)
     pool.change('a', 2 * LIMIT)
--- a/hillfield/routing/tests/test_budgets.py
+++ b/hillfield/routing/tests/test_budgets.py
@@ -1,4 +1,4 @@
-"""Budgets of retries."""
+"""Retry budgets."""
 
 from hillfield.model import Address, RequestPlan, ServicePolicy, TargetId
 from hillfield.routing.budgets import UNSENT_BURST, RetryBudget
@@ -9,25 +9,25 @@
 
 
 def test_refused_connections_do_not_use_up_the_retries():
-    """Half of all targets killed left callers refused with the rest alive.
+    """Retries after refused connections have a bucket of their own.
 
-    Their first tries met closed ports, which emptied the retry budget of 5;
-    94 of 2,750 callers were told `not-run` while half the targets lived.
+    With half of all targets killed, closed ports emptied the retry budget of 5,
+    and 94 of 2,750 requests ended as `not-run` although half the targets lived.
     """
     budget = RetryBudget(POLICY)
     assert all(budget.consume_unsent() for _ in range(int(UNSENT_BURST)))
     assert budget.consume_retry('shop', shed=False)
 
 
-def test_tries_end_when_nothing_is_answered():
-    """A service whose targets all refuse gets no storm of connections."""
+def test_unsent_retries_end_while_nothing_is_answered():
+    """If all targets refuse connections, the number of attempts is bounded."""
     budget = RetryBudget(POLICY)
     taken = sum(budget.consume_unsent() for _ in range(1000))
     assert taken == UNSENT_BURST
 
 
-def test_each_answer_allows_one_more_try():
-    """While some targets answer, one try is added for each answer."""
+def test_each_answer_allows_one_more_unsent_retry():
+    """While some targets answer, each answer adds one retry."""
     budget = RetryBudget(POLICY)
     assert sum(budget.consume_unsent() for _ in range(1000)) == UNSENT_BURST
     budget.record_answered(POLICY, 'shop')
@@ -36,15 +36,15 @@
 
 
 def test_a_failed_service_stops_retries():
-    """Without answers the burst of retries is all there is."""
+    """Without answers, only the burst of retries is available."""
     budget = RetryBudget(POLICY)
     accounts = [f'shop-{number}' for number in range(100)]
     taken = sum(budget.consume_retry(name, shed=False) for name in accounts)
     assert taken == POLICY.retry_burst
 
 
-def test_unsent_attempts_do_not_count_as_the_plan_s_attempts():
-    """Of 8 targets 4 refused; 7 callers were refused after 3 closed ports."""
+def test_unsent_attempts_do_not_count_as_attempts_of_the_plan():
+    """With 4 of 8 targets refusing, 7 requests failed after 3 closed ports."""
     plan = RequestPlan('settlement', 'capture', 'shop', False, 2)
     record = RequestRecord(Arrival('one', plan, 2, replayable=True))
     record.tried = tuple(
@@ -56,8 +56,8 @@
     assert record.has_attempts_left()
 
 
-def test_sheds_that_cost_a_whole_repeat_share_the_bound_of_repeats():
-    """The users count each further arrival, also one that a target sheds."""
+def test_sheds_that_cost_a_full_retry_share_the_retry_budget():
+    """With `shed_cost` 1, a retry after a shed counts as any other retry."""
     policy = ServicePolicy('s', retry_burst=2, shed_burst=2, shed_cost=1)
     budget = RetryBudget(policy)
     assert budget.consume_retry('a', shed=True)
--- a/hillfield/routing/tests/test_declining.py
+++ b/hillfield/routing/tests/test_declining.py
@@ -1,4 +1,4 @@
-"""Requests that gates decline go on to other gates."""
+"""Requests that were declined by gates are sent to other gates."""
 
 from random import Random
 
@@ -58,8 +58,8 @@
     return dispatcher.finish(now, decision.attempt, Declined('full'))
 
 
-def test_declines_use_up_no_budget_of_repeats():
-    """Refused gates emptied a bucket that only answers filled again."""
+def test_declines_use_up_no_retry_budget():
+    """Declines emptied a bucket that only answers filled again."""
     dispatcher = make_dispatcher()
     for number in range(40):
         first = dispatcher.admit(number, arrive(f'r{number}', now=number))
@@ -71,7 +71,7 @@
         dispatcher.finish(number, second.attempt, Answered(200))
 
 
-def test_a_request_asks_each_gate_once_before_any_twice():
+def test_a_request_tries_each_gate_once_before_any_twice():
     dispatcher = make_dispatcher(4)
     decision = dispatcher.admit(0, arrive('r'))
     asked = []
@@ -82,7 +82,8 @@
     assert isinstance(decision, Wait)
 
 
-def insists_when(idempotent, now):
+def decline_until(idempotent, now):
+    """Return the decision after many declines, the last one at `now`."""
     dispatcher = make_dispatcher()
     decision = dispatcher.admit(0, arrive('r', idempotent))
     for _ in range(QUARANTINED_DECLINES):
@@ -92,21 +93,21 @@
     return decline(dispatcher, decision, now)
 
 
-def test_a_request_that_many_gates_declined_insists_after_a_while():
+def test_a_request_declined_by_many_gates_accepts_quarantined_targets():
     for idempotent in (True, False):
-        insisting = insists_when(idempotent, QUARANTINED_SECONDS)
-        assert insisting.urgency is Urgency.INSISTS
+        sent = decline_until(idempotent, QUARANTINED_SECONDS)
+        assert sent.urgency is Urgency.INSISTS
 
 
-def test_a_request_that_gates_decline_for_long_presses():
-    pressing = insists_when(False, ANY_SECONDS)
-    assert pressing.urgency is Urgency.PRESSES
+def test_a_request_declined_for_long_accepts_any_target():
+    sent = decline_until(False, ANY_SECONDS)
+    assert sent.urgency is Urgency.PRESSES
 
 
-def test_only_what_has_a_repeat_left_may_try_a_doubtful_target():
+def test_only_a_request_with_a_retry_left_is_a_trial():
     dispatcher = make_dispatcher()
-    poor = dispatcher.admit(0, arrive('a', idempotent=True))
-    assert not poor.trial
+    without_retry = dispatcher.admit(0, arrive('a', idempotent=True))
+    assert not without_retry.trial
     rich = ServicePolicy('s', retry_burst=5)
     dispatcher.adopt_policy(0, rich)
     dispatcher.board.adopt_policy(0, rich)
@@ -118,7 +119,7 @@
     assert dispatcher.admit(0, arrive('b', idempotent=True)).trial
 
 
-def test_a_request_that_all_decline_ends_as_not_run():
+def test_a_request_that_all_gates_decline_ends_as_not_run():
     dispatcher = make_dispatcher(2)
     decision = dispatcher.admit(0, arrive('r'))
     now = float()
@@ -133,8 +134,8 @@
     assert decision.failure.status == 503
 
 
-def test_requests_wait_a_moment_for_the_first_target():
-    """After a restart 143 requests were refused before any target was heard."""
+def test_requests_wait_for_the_first_target():
+    """After a restart, 143 requests were refused before a target was known."""
     patient = replace(POLICY, patience=1)
     dispatcher = Dispatcher(patient, HERE, PathBoard(patient, HERE), Random(1))
     assert isinstance(dispatcher.admit(0, arrive('r')), Wait)
@@ -143,7 +144,7 @@
     assert [decision.request for decision in dispatcher.poll(0.7)] == ['r']
 
 
-def test_requests_wait_no_longer_than_that():
+def test_requests_wait_for_a_target_no_longer_than_the_policy_says():
     patient = replace(POLICY, patience=1)
     dispatcher = Dispatcher(patient, HERE, PathBoard(patient, HERE), Random(1))
     dispatcher.admit(0, arrive('r'))
@@ -152,30 +153,30 @@
     assert isinstance(dispatcher.admit(1.2, arrive('s')), Refuse)
 
 
-def hold_back(dispatcher, decision, now=0):
+def decline_lastingly(dispatcher, decision, now=0):
     dispatcher.note_written(now, decision.attempt)
-    declined = Declined('shunned', lasting=True)
+    declined = Declined('quarantined', lasting=True)
     return dispatcher.finish(now, decision.attempt, declined)
 
 
-def settle(dispatcher, decision, now):
+def answer(dispatcher, decision, now):
     dispatcher.note_written(now, decision.attempt)
     dispatcher.finish(now, decision.attempt, Answered(200))
 
 
-def make_shunned(count):
-    """Return a dispatcher and the target whose gate holds work back."""
+def make_quarantined(count):
+    """Return a dispatcher and the target whose gate declines lastingly."""
     dispatcher = make_dispatcher(count)
     rich = ServicePolicy('s', retry_burst=5)
     dispatcher.adopt_policy(0, rich)
     dispatcher.board.adopt_policy(0, rich)
     first = dispatcher.admit(0, arrive('first'))
-    settle(dispatcher, hold_back(dispatcher, first), 0)
+    answer(dispatcher, decline_lastingly(dispatcher, first), 0)
     return dispatcher, first.target
 
 
 def list_asked(dispatcher, start, idempotent=False, attempts=2):
-    """Return which targets 40 requests of 0.4 s are sent to."""
+    """Return the targets of 40 requests that are sent within 0.4 s."""
     asked = set()
     for number in range(40):
         now = start + number / 100
@@ -183,44 +184,44 @@
         plan = replace(arrival.plan, maximum_attempts=attempts)
         sent = dispatcher.admit(now, replace(arrival, plan=plan))
         asked.add(sent.target)
-        settle(dispatcher, sent, now)
+        answer(dispatcher, sent, now)
     return asked
 
 
-def test_a_gate_that_holds_work_back_is_not_asked_again_soon():
-    """Of 6,250 requests of a day 4,600 were declined by shunned targets."""
-    dispatcher, shunned = make_shunned(4)
-    assert shunned not in list_asked(dispatcher, 0.5)
+def test_a_gate_that_withholds_work_is_avoided_at_first():
+    """Gates of quarantined targets declined 4,600 of 6,250 requests."""
+    dispatcher, quarantined = make_quarantined(4)
+    assert quarantined not in list_asked(dispatcher, 0.5)
 
 
-def test_a_gate_that_held_work_back_is_asked_again_later():
-    dispatcher, shunned = make_shunned(2)
-    assert shunned in list_asked(dispatcher, DECLINE_LIFETIME)
+def test_a_gate_that_withheld_work_is_tried_again_later():
+    dispatcher, quarantined = make_quarantined(2)
+    assert quarantined in list_asked(dispatcher, DECLINE_LIFETIME)
 
 
-def test_trials_go_to_a_gate_that_holds_work_back():
-    dispatcher, shunned = make_shunned(2)
-    assert shunned in list_asked(dispatcher, 0.5, idempotent=True)
+def test_trials_are_sent_to_a_gate_that_withholds_work():
+    dispatcher, quarantined = make_quarantined(2)
+    assert quarantined in list_asked(dispatcher, 0.5, idempotent=True)
 
 
-def test_a_last_attempt_is_no_trial():
-    dispatcher, shunned = make_shunned(2)
+def test_a_last_attempt_is_not_a_trial():
+    dispatcher, quarantined = make_quarantined(2)
     asked = list_asked(dispatcher, 0.5, idempotent=True, attempts=1)
-    assert shunned not in asked
+    assert quarantined not in asked
 
 
-def test_where_all_gates_hold_work_back_they_are_asked_all_the_same():
+def test_gates_that_withhold_work_are_tried_if_there_are_no_others():
     dispatcher = make_dispatcher(3)
     decision = dispatcher.admit(0, arrive('first'))
     for _ in range(2):
-        decision = hold_back(dispatcher, decision)
-    hold_back(dispatcher, decision)
+        decision = decline_lastingly(dispatcher, decision)
+    decline_lastingly(dispatcher, decision)
     dispatcher.leave(0, 'first')
     assert isinstance(dispatcher.admit(1, arrive('next', now=1)), Send)
 
 
-def test_few_gates_of_other_domains_are_asked_at_once():
-    """Of 9,500 requests sent to other domains 8,300 were declined there."""
+def test_few_gates_of_other_domains_are_tried_at_once():
+    """Of 9,500 requests sent to other domains, 8,300 were declined there."""
     far = tuple(
         replace(target, locality=Locality('r', 'b', 'h'))
         for target in make_targets(10)
@@ -238,7 +239,7 @@
     assert isinstance(dispatcher.poll(1.1 * FAR_INTERVAL)[0], Send)
 
 
-def test_gates_of_the_own_domain_are_asked_on():
+def test_all_gates_of_the_own_domain_are_tried():
     dispatcher = make_dispatcher()
     decision = dispatcher.admit(0, arrive('r'))
     for _ in range(2 * FAR_AT_ONCE):
--- a/hillfield/routing/tests/test_dispatcher.py
+++ b/hillfield/routing/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Verdicts of the dispatcher, case by case."""
+"""Decisions of the dispatcher, case by case."""
 
 from random import Random
 from typing import Any
@@ -41,10 +41,10 @@
     number: int,
     slots: int = 4,
     state: TargetState = TargetState.READY,
-    life: int = 1,
+    incarnation: int = 1,
 ) -> Target:
     address = Address('127.0.0.1', 8000 + number)
-    identity = TargetId('settlement', address, life)
+    identity = TargetId('settlement', address, incarnation)
     locality = Locality('north', 'abc'[number % 3], f'h{number}')
     return Target(identity, locality, slots, 300, state=state)
 
@@ -134,7 +134,7 @@
     assert failure.outcome is Outcome.NOT_RUN
 
 
-def test_last_attempt_after_sheds_takes_the_slot_given_back():
+def test_last_attempt_after_sheds_gets_the_released_slot():
     dispatcher = make_dispatcher(3, slots=1)
     other = dispatcher.admit(0, make_arrival('other'))
     send = dispatcher.admit(0, make_arrival('a'))
@@ -177,7 +177,7 @@
     assert again.target != send.target
 
 
-def test_shed_after_doubt_stays_unknown(pair):
+def test_shed_after_an_uncertain_attempt_stays_unknown(pair):
     send = pair.admit(0, make_arrival('a', maximum_attempts=2))
     pair.note_written(0, send.attempt)
     again = pair.finish(0.1, send.attempt, Broken(''))
@@ -198,7 +198,7 @@
     'observation',
     [Broken('', True), TimedOut(True), Answered(500, 'x', True)],
 )
-def test_relayed_is_never_retried(pair, observation):
+def test_forwarded_answer_is_never_retried(pair, observation):
     send = pair.admit(0, make_arrival('a'))
     pair.note_written(0, send.attempt)
     assert pair.finish(0.1, send.attempt, observation) == Done('a')
@@ -214,8 +214,9 @@
 
 
 def hedge_one(pair: Any) -> tuple[Any, Any]:
-    warm = pair.admit(0, make_arrival('w'))
-    pair.finish(0.1, warm.attempt, Answered(200))
+    """Return both attempts of a hedged request."""
+    earlier = pair.admit(0, make_arrival('w'))
+    pair.finish(0.1, earlier.attempt, Answered(200))
     first = pair.admit(0.1, make_arrival('a'))
     pair.note_written(0.1, first.attempt)
     second = pair.hedge(0.2, 'a')
@@ -223,7 +224,7 @@
     return first, second
 
 
-def test_hedge_goes_to_another_target_and_the_winner_settles(pair):
+def test_hedge_goes_to_another_target_and_the_first_answer_counts(pair):
     first, second = hedge_one(pair)
     assert second.target != first.target
     assert pair.finish(0.3, second.attempt, Answered(200)) == Done('a')
@@ -237,7 +238,7 @@
     assert pair.finish(0.4, second.attempt, Answered(200)) == Done('a')
 
 
-def test_loser_cut_before_the_winner_fails_leaves_doubt(pair):
+def test_cancelled_attempt_leaves_the_outcome_unknown(pair):
     first, second = hedge_one(pair)
     pair.finish(0.3, first.attempt, CallerGone())
     failure = pair.finish(1.99, second.attempt, Shed()).failure
@@ -260,7 +261,7 @@
     assert dispatcher.poll(0.1)[0].request == 'r6'
 
 
-def test_leave_takes_a_request_out_of_the_queue():
+def test_cancelled_request_leaves_the_queue():
     dispatcher = make_dispatcher(1, slots=1)
     send = dispatcher.admit(0, make_arrival('a'))
     dispatcher.admit(0, make_arrival('b'))
@@ -269,8 +270,8 @@
     assert dispatcher.poll(0.1) == ()
 
 
-def test_leave_drops_a_refusal_not_yet_handed_out():
-    # Found by the long fuzz: evicted for another account, then left.
+def test_cancel_drops_a_refusal_that_no_poll_has_returned():
+    # The request is evicted for another account and then cancelled.
     dispatcher = make_dispatcher(1, slots=1, queue_limit=2, account_share=1)
     dispatcher.admit(0, make_arrival('a'))
     for name in 'bc':
@@ -280,7 +281,7 @@
     assert dispatcher.poll(0) == ()
 
 
-def test_newest_of_the_longest_line_makes_room():
+def test_newest_of_the_longest_queue_is_evicted():
     dispatcher = make_dispatcher(1, slots=1, queue_limit=2, account_share=1)
     dispatcher.admit(0, make_arrival('a'))
     for name in 'bc':
@@ -312,7 +313,7 @@
     assert refuse.failure.retry_after > 1
 
 
-def test_account_rate_is_refused_with_the_time_to_come_back():
+def test_account_rate_is_refused_with_the_time_to_retry():
     dispatcher = make_dispatcher(2, account_rate=2)
     arrivals = [make_arrival(name) for name in 'abc']
     decisions = [dispatcher.admit(0, arrival) for arrival in arrivals]
@@ -321,7 +322,7 @@
     assert isinstance(dispatcher.admit(0.5, make_arrival('d')), Send)
 
 
-def test_shed_target_pauses_and_comes_back():
+def test_shed_target_pauses_and_is_used_again():
     dispatcher = make_dispatcher(1)
     send = dispatcher.admit(0, make_arrival('a'))
     dispatcher.finish(0.1, send.attempt, Shed())
@@ -329,7 +330,7 @@
     assert isinstance(dispatcher.poll(0.2)[0], Send)
 
 
-def test_work_stays_in_the_failure_domain_until_it_fills():
+def test_requests_stay_in_the_failure_domain_until_it_is_full():
     dispatcher = make_dispatcher(9)
     arrivals = [make_arrival(f'{place}') for place in range(20)]
     sends = [dispatcher.admit(0, arrival) for arrival in arrivals]
@@ -346,14 +347,14 @@
     assert refused[0].failure.outcome is Outcome.NOT_RUN
 
 
-def test_draining_target_gets_nothing_and_a_new_life_is_another_target():
+def test_draining_target_gets_nothing_and_incarnations_are_distinct():
     dispatcher = make_dispatcher(2)
     leaving = make_target(0, state=TargetState.DRAINING)
     dispatcher.adopt_targets(1, (leaving, make_target(1)))
     arrivals = [make_arrival(f'{place}') for place in range(4)]
     sends = [dispatcher.admit(1, arrival) for arrival in arrivals]
     assert {send.target for send in sends} == {make_target(1).id}
-    newer = make_target(1, life=2)
+    newer = make_target(1, incarnation=2)
     dispatcher.adopt_targets(1, (leaving, newer))
     assert dispatcher.admit(1, make_arrival('n')).target == newer.id
     for send in sends:
@@ -374,7 +375,7 @@
     assert sends <= 1010
 
 
-def test_target_that_shed_gets_work_again_after_a_latency():
+def test_target_that_shed_gets_requests_again_after_a_latency():
     pair = make_dispatcher(2, slots=1)
     answer(pair, pair.admit(0, make_arrival('a')), 0.02)
     shed = pair.admit(0.03, make_arrival('b'))
@@ -384,7 +385,7 @@
     assert {send.target for send in sent} == {shed.target, again.target}
 
 
-def test_what_waits_for_a_pause_is_due_at_its_end():
+def test_requests_that_wait_for_a_pause_are_due_at_its_end():
     alone = make_dispatcher(2, slots=1)
     answer(alone, alone.admit(0, make_arrival('a')), 0.02)
     assert alone.next_due() is None
--- a/hillfield/routing/tests/test_durations.py
+++ b/hillfield/routing/tests/test_durations.py
@@ -1,4 +1,4 @@
-"""How long requests of a route take, as a node learns it."""
+"""Duration estimates per route."""
 
 from random import Random
 
@@ -11,7 +11,7 @@
 LOOKUP = RequestPlan('s', 'lookup', '', True, 4, aim=1.5)
 
 
-def test_before_any_answer_the_aim_tells_the_length():
+def test_before_any_answer_the_aim_sets_the_duration():
     durations = Durations()
     call = durations.find(CALL).find_quantile(0)
     lookup = durations.find(LOOKUP).find_quantile(0)
@@ -19,7 +19,7 @@
     assert lookup == approx(0.49, abs=0.01)
 
 
-def test_routes_of_one_target_are_told_apart():
+def test_routes_of_one_target_are_distinguished():
     durations = Durations()
     random = Random(1)
     for _ in range(50):
@@ -29,7 +29,7 @@
     assert late == [approx(0, abs=0.02), approx(0.4, abs=0.12)]
 
 
-def test_a_change_of_length_is_learnt():
+def test_the_estimate_follows_a_change():
     duration = Durations().find(CALL)
     for _ in range(100):
         duration.note(0.1)
@@ -38,14 +38,14 @@
     assert duration.find_quantile(0) == approx(0.35, rel=0.15)
 
 
-def test_equal_answers_leave_some_doubt():
+def test_equal_answers_leave_the_least_spread():
     duration = Durations().find(CALL)
     for _ in range(200):
         duration.note(0.1)
     assert duration.survive(0.11) == approx(0.37, abs=0.05)
 
 
-def test_the_least_recently_used_route_is_forgotten():
+def test_the_least_recently_used_route_is_dropped():
     durations = Durations()
     first = durations.find(CALL)
     for number in range(ROUTES_KEPT):
--- a/hillfield/routing/tests/test_flapping_target.py
+++ b/hillfield/routing/tests/test_flapping_target.py
@@ -1,4 +1,4 @@
-"""A target that answers wrongly for half a second at a time, in modelled time."""
+"""A target that answers wrongly for 0.5 s of each second, in simulated time."""
 
 from msgspec.structs import replace
 from pytest import mark
@@ -9,8 +9,8 @@
 from hillfield.model import ServicePolicy
 from hillfield.routing.requests import Answered
 
-# The scenario's: 2 nodes, 6 targets of 4 slots, one account that brings all of
-# 150 reads a second.
+# 2 nodes, 6 targets of 4 slots, and one account that sends all of the 150 reads a
+# second.
 SETTING = Setting(
     nodes=2,
     targets=6,
@@ -31,23 +31,24 @@
 
     def _complete(self, now, fake, node, send):
         phase = (now - ONSET) % PERIOD
-        sick = now >= ONSET and phase < PERIOD / 2
+        failing = now >= ONSET and phase < PERIOD / 2
         first = fake is next(iter(self._targets.values()))
         fake.busy -= 1
-        observation = WRONG if sick and first else ANSWER
+        observation = WRONG if failing and first else ANSWER
         self._end(now, node, send.attempt, observation)
 
 
 @mark.parametrize('seed', range(40))
-def test_reads_that_meet_a_failing_target_are_repeated_elsewhere(seed):
-    # Five 500s within 0.1 s used up what an account had saved, for all of it.
+def test_reads_that_fail_at_a_flapping_target_are_retried_elsewhere(seed):
+    # Five 500 answers within 0.1 s used up the retry tokens of an account that
+    # brings all of the traffic.
     setting = replace(SETTING, seed=seed)
     tally = FlappingBench(setting, HealthBoard, Dispatcher).run()
     assert not tally.refused
 
 
 @mark.parametrize('seed', range(4))
-def test_a_service_that_fails_gets_few_repeats_beyond_the_second_before(seed):
+def test_a_service_that_fails_gets_few_retries(seed):
     broken = replace(SETTING, seed=seed, broken=True)
     tally = Bench(broken, HealthBoard, Dispatcher).run()
     assert tally.sent - tally.arrived <= 2 * SETTING.policy.retry_burst
--- a/hillfield/routing/tests/test_fuzz.py
+++ b/hillfield/routing/tests/test_fuzz.py
@@ -1,7 +1,7 @@
-"""Fuzz the decisions against an oracle of what ran and who got what.
+"""Fuzz the decisions against an oracle.
 
-The oracle knows nothing of charts, budgets or health: it records which
-attempts were written, which ran, and what each caller was told, and checks
+The oracle is independent of charts, budgets and health: it records which
+attempts were written, which ran, and the outcome of each request, and checks
 promises 1 to 6. `HILLFIELD_FUZZ=long` runs many more and longer cases.
 """
 
@@ -73,7 +73,7 @@
 PLACES = 5
 SLOTS = 3
 places = st.integers(0, PLACES - 1)
-sick_places = st.sets(places, max_size=PLACES - 1)
+failing_places = st.sets(places, max_size=PLACES - 1)
 picks = st.integers(0, 10**6)
 symptoms = st.sampled_from(Symptom)
 UNWRITTEN: tuple[Observation, ...] = (ConnectFailed('c'), NothingWritten('n'))
@@ -89,8 +89,8 @@
 
 
 @dataclass
-class Trial:
-    """Record what really became of one attempt."""
+class AttemptTruth:
+    """Record what actually happened to one attempt."""
 
     send: Send
     written: bool = False
@@ -100,38 +100,38 @@
 
 
 class Oracle:
-    """Record the truth and check each verdict against it."""
+    """Record what happened, to check each decision against it."""
 
     def __init__(self) -> None:
         self.arrivals: dict[str, Arrival] = {}
-        self.trials: dict[int, Trial] = {}
+        self.attempts: dict[int, AttemptTruth] = {}
         self.runs: Counter[str] = Counter()
-        self.told: dict[str, Any] = {}
+        self.outcomes: dict[str, Any] = {}
         self.gone: set[str] = set()
 
-    def of(self, request: str) -> list[Trial]:
-        trials = self.trials.values()
-        return [one for one in trials if one.send.request == request]
+    def of(self, request: str) -> list[AttemptTruth]:
+        attempts = self.attempts.values()
+        return [one for one in attempts if one.send.request == request]
 
     def may_run(self, request: str) -> bool:
         """Tell whether the request ran or can still run anywhere."""
         return bool(self.runs[request]) or any(
-            trial.written and not trial.refused for trial in self.of(request)
+            truth.written and not truth.refused for truth in self.of(request)
         )
 
     def tried(self, request: str) -> set[TargetId]:
-        return {trial.send.target for trial in self.of(request)}
+        return {truth.send.target for truth in self.of(request)}
 
-    def live(self) -> list[Trial]:
-        return [trial for trial in self.trials.values() if not trial.ended]
+    def live(self) -> list[AttemptTruth]:
+        return [truth for truth in self.attempts.values() if not truth.ended]
 
 
 def has_arrivals(fleet: 'Fleet') -> bool:
     return bool(fleet.oracle.arrivals)
 
 
-def has_trials(fleet: 'Fleet') -> bool:
-    return bool(fleet.oracle.trials)
+def has_attempts(fleet: 'Fleet') -> bool:
+    return bool(fleet.oracle.attempts)
 
 
 def has_live(fleet: 'Fleet') -> bool:
@@ -139,7 +139,7 @@
 
 
 class Fleet(RuleBasedStateMachine):
-    """Drive a dispatcher with a real board through faults."""
+    """Run a dispatcher and a detector through faults."""
 
     dispatcher_kind: Any = Dispatcher
     board_kind: Any = HealthBoard
@@ -155,12 +155,12 @@
         for place in range(PLACES):
             self.announce(place, 1)
 
-    # What happens to targets.
+    # Changes of targets.
 
-    def announce(self, place: int, life: int) -> None:
+    def announce(self, place: int, incarnation: int) -> None:
         address = Address('127.0.0.1', 7000 + place)
         locality = Locality('north', 'abc'[place % 3], f'h{place}')
-        identity = TargetId('claims', address, life)
+        identity = TargetId('claims', address, incarnation)
         self.announced[place] = Target(identity, locality, SLOTS, 300)
         self.fresh.add(identity)
         self.adopt()
@@ -183,7 +183,7 @@
 
     @rule(place=places, gone=st.booleans())
     def withdraw(self, place: int, gone: bool) -> None:
-        """Let a target drain, or vanish without a word."""
+        """Let a target drain, or vanish without draining."""
         known = self.announced.pop(place, None)
         if known and not gone:
             state = TargetState.DRAINING
@@ -191,15 +191,17 @@
         self.adopt()
 
     @rule(place=places, symptom=symptoms)
-    def hear(self, place: int, symptom: Symptom) -> None:
+    def receive_evidence(self, place: int, symptom: Symptom) -> None:
         known = self.announced.get(place)
         if known:
             self.fresh.discard(known.id)
-            told = (Evidence(known.id, symptom, 50, 50, 9),)
+            evidence = (Evidence(known.id, symptom, 50, 50, 9),)
             for node in ('n1', 'n2', 'n3'):
-                self.dispatcher.board.adopt_evidence(self.now, node, node, told)
+                self.dispatcher.board.adopt_evidence(
+                    self.now, node, node, evidence
+                )
 
-    # What callers do.
+    # Actions of callers.
 
     @rule(
         idempotent=st.booleans(),
@@ -228,15 +230,15 @@
     def leave(self, pick: int) -> None:
         names = list(self.oracle.arrivals)
         name = names[pick % len(names)]
-        if name not in self.oracle.told and not self.oracle.of(name):
+        if name not in self.oracle.outcomes and not self.oracle.of(name):
             self.oracle.gone.add(name)
             self.dispatcher.leave(self.now, name)
 
     @precondition(has_live)
     @rule(pick=picks)
     def hedge(self, pick: int) -> None:
-        trial = self.pick_live(pick)
-        request = trial.send.request
+        truth = self.pick_live(pick)
+        request = truth.send.request
         send = self.dispatcher.hedge(self.now, request)
         if send is not None:
             arrival = self.oracle.arrivals[request]
@@ -246,15 +248,15 @@
     @rule(idempotent=st.booleans(), fate=picks, written=st.booleans())
     def pass_through(self, idempotent: bool, fate: int, written: bool) -> None:
         """Let a request arrive and its first attempt end at once."""
-        known = len(self.oracle.trials)
+        known = len(self.oracle.attempts)
         plan = RequestPlan('claims', 'r', 'z', idempotent, 1)
         self.admit(plan, replayable=True)
-        if len(self.oracle.trials) > known:
+        if len(self.oracle.attempts) > known:
             self.end(len(self.oracle.live()) - 1, fate, written)
 
-    # What becomes of attempts.
+    # Ends of attempts.
 
-    def pick_live(self, pick: int) -> Trial:
+    def pick_live(self, pick: int) -> AttemptTruth:
         live = self.oracle.live()
         return live[pick % len(live)]
 
@@ -263,64 +265,64 @@
     def write(self, pick: int) -> None:
         self.note_written(self.pick_live(pick))
 
-    def note_written(self, trial: Trial) -> None:
-        trial.written = True
-        # From here on a stall can be seen, also before the attempt ends.
-        self.fresh.discard(trial.send.target)
-        self.dispatcher.note_written(self.now, trial.send.attempt)
+    def note_written(self, truth: AttemptTruth) -> None:
+        truth.written = True
+        # From now on a stall can be detected, also before the attempt ends.
+        self.fresh.discard(truth.send.target)
+        self.dispatcher.note_written(self.now, truth.send.attempt)
 
-    @precondition(has_trials)
+    @precondition(has_attempts)
     @rule(pick=picks)
     def run_late(self, pick: int) -> None:
-        """Let a target run what it was sent, also after a break."""
-        trials = list(self.oracle.trials.values())
-        trial = trials[pick % len(trials)]
-        if trial.written and not trial.refused:
-            self.run_once(trial)
+        """Let a target run a request that it was sent, also after a break."""
+        attempts = list(self.oracle.attempts.values())
+        truth = attempts[pick % len(attempts)]
+        if truth.written and not truth.refused:
+            self.run_once(truth)
 
-    def run_once(self, trial: Trial) -> None:
-        request = trial.send.request
-        self.oracle.runs[request] += int(not trial.ran)
-        trial.ran = True
+    def run_once(self, truth: AttemptTruth) -> None:
+        request = truth.send.request
+        self.oracle.runs[request] += int(not truth.ran)
+        truth.ran = True
 
     @precondition(has_live)
     @rule(pick=picks, fate=picks, written=st.booleans())
     def end(self, pick: int, fate: int, written: bool) -> None:
-        trial = self.pick_live(pick)
+        truth = self.pick_live(pick)
         if written:
-            self.note_written(trial)
-        if not trial.written:
-            self.finish(trial, UNWRITTEN[fate % len(UNWRITTEN)])
+            self.note_written(truth)
+        if not truth.written:
+            self.finish(truth, UNWRITTEN[fate % len(UNWRITTEN)])
             return
-        # A target that has run a request can't refuse it any more.
-        fates = WRITTEN[:-1] if trial.ran else WRITTEN
+        # A target that has run a request can't shed it any more.
+        fates = WRITTEN[:-1] if truth.ran else WRITTEN
         observation = fates[fate % len(fates)]
-        trial.refused = isinstance(observation, Shed)
+        truth.refused = isinstance(observation, Shed)
         if isinstance(observation, Answered):
-            self.run_once(trial)
-        self.finish(trial, observation)
+            self.run_once(truth)
+        self.finish(truth, observation)
 
-    @precondition(has_trials)
+    @precondition(has_attempts)
     @rule(pick=picks, observation=st.sampled_from(ALL))
     def repeat_report(self, pick: int, observation: Observation) -> None:
-        """Report once more, or too late, on an attempt that has ended."""
-        trials = list(self.oracle.trials.values())
-        trial = trials[pick % len(trials)]
-        if trial.ended:
-            attempt = trial.send.attempt
+        """Report a duplicate or late observation of an ended attempt."""
+        attempts = list(self.oracle.attempts.values())
+        truth = attempts[pick % len(attempts)]
+        if truth.ended:
+            attempt = truth.send.attempt
             self.dispatcher.note_written(self.now, attempt)
             self.dispatcher.note_head(self.now, attempt)
             decision = self.dispatcher.finish(self.now, attempt, observation)
             assert decision == Done('')
 
-    def finish(self, trial: Trial, observation: Observation) -> None:
-        trial.ended = True
-        request = trial.send.request
-        attempt = trial.send.attempt
-        self.fresh.discard(trial.send.target)
+    def finish(self, truth: AttemptTruth, observation: Observation) -> None:
+        truth.ended = True
+        request = truth.send.request
+        attempt = truth.send.attempt
+        self.fresh.discard(truth.send.target)
         decision = self.dispatcher.finish(self.now, attempt, observation)
         assert decision.request == request
-        if request in self.oracle.told:
+        if request in self.oracle.outcomes:
             assert isinstance(decision, Done)
             return
         if isinstance(decision, Done):
@@ -331,27 +333,27 @@
                 if not other.ended:
                     self.finish(other, CallerGone())
 
-    @rule(sick=sick_places, idempotent=st.booleans())
-    def burst(self, sick: set[int], idempotent: bool) -> None:
-        """Let requests pass quickly, some targets failing them all."""
+    @rule(failing=failing_places, idempotent=st.booleans())
+    def burst(self, failing: set[int], idempotent: bool) -> None:
+        """Send many requests while some targets fail all of theirs."""
         plan = RequestPlan('claims', 'r', 'x', idempotent, 1)
         for _ in range(30):
             self.now += 0.025
-            before = set(self.oracle.trials)
+            before = set(self.oracle.attempts)
             self.admit(plan, replayable=True)
-            for attempt in set(self.oracle.trials) - before:
-                self.settle(self.oracle.trials[attempt], sick)
+            for attempt in set(self.oracle.attempts) - before:
+                self.settle(self.oracle.attempts[attempt], failing)
             self.tick()
 
-    def settle(self, trial: Trial, sick: set[int]) -> None:
-        if trial.ended:
+    def settle(self, truth: AttemptTruth, failing: set[int]) -> None:
+        if truth.ended:
             return
-        self.note_written(trial)
-        if trial.send.address.port - 7000 in sick:
-            self.finish(trial, Broken('sick'))
+        self.note_written(truth)
+        if truth.send.address.port - 7000 in failing:
+            self.finish(truth, Broken('failing'))
         else:
-            self.run_once(trial)
-            self.finish(trial, Answered(200))
+            self.run_once(truth)
+            self.finish(truth, Answered(200))
 
     # Time.
 
@@ -365,26 +367,26 @@
         for decision in self.dispatcher.poll(self.now):
             self.accept(decision, decision.request)
 
-    # What must hold.
+    # Invariants.
 
     def accept(self, decision: Any, request: str) -> None:
         assert decision.request == request
         assert request in self.oracle.arrivals
-        assert request not in self.oracle.told
+        assert request not in self.oracle.outcomes
         assert request not in self.oracle.gone
         if isinstance(decision, Send):
             self.accept_send(decision)
         elif isinstance(decision, Refuse):
             self.accept_refusal(decision)
-            self.oracle.told[request] = decision
+            self.oracle.outcomes[request] = decision
         elif isinstance(decision, Done):
-            self.oracle.told[request] = decision
+            self.oracle.outcomes[request] = decision
 
     def accept_send(self, send: Send) -> None:
         arrival = self.oracle.arrivals[send.request]
         earlier = self.oracle.of(send.request)
         assert self.now < arrival.expires
-        assert send.attempt not in self.oracle.trials
+        assert send.attempt not in self.oracle.attempts
         assert send.address == send.target.address
         known = self.announced.get(send.address.port - 7000)
         assert known is not None and known.id == send.target
@@ -396,14 +398,14 @@
         assert send.target not in tried or not rotating - tried
         if not arrival.plan.idempotent:
             assert not self.oracle.may_run(send.request)
-            assert all(trial.ended for trial in earlier)
+            assert all(truth.ended for truth in earlier)
         if not arrival.replayable:
-            assert not any(trial.written for trial in earlier)
-        seen = sum(trial.written or not trial.ended for trial in earlier)
+            assert not any(truth.written for truth in earlier)
+        seen = sum(truth.written or not truth.ended for truth in earlier)
         assert seen < arrival.plan.maximum_attempts
         assert len(earlier) <= arrival.plan.maximum_attempts + MAXIMUM_UNSENT
-        self.oracle.trials[send.attempt] = Trial(send)
-        busy = Counter(trial.send.target for trial in self.oracle.live())
+        self.oracle.attempts[send.attempt] = AttemptTruth(send)
+        busy = Counter(truth.send.target for truth in self.oracle.live())
         assert busy[send.target] <= SLOTS
 
     def accept_refusal(self, refuse: Refuse) -> None:
@@ -430,22 +432,22 @@
         assert kept >= POLICY.floor * sum(target.slots for target in live)
 
     @invariant()
-    def gives_new_lives_a_chance(self) -> None:
+    def new_incarnations_are_in_rotation(self) -> None:
         rotation = self.dispatcher.board.rotation()
         rotating = {one.target.id for one in rotation.candidates}
         remaining = {target.id for target in self.remaining()}
         assert remaining & self.fresh <= rotating
 
     def teardown(self) -> None:
-        """Every caller gets exactly one verdict and nothing is left."""
+        """Check that each request got one final decision and none is left."""
         for _ in range(10):
             self.now += 60
             self.tick()
-            for trial in self.oracle.live():
-                if not trial.ended:
-                    self.note_written(trial)
-                    self.finish(trial, TimedOut())
-        waiting = set(self.oracle.arrivals) - set(self.oracle.told)
+            for truth in self.oracle.live():
+                if not truth.ended:
+                    self.note_written(truth)
+                    self.finish(truth, TimedOut())
+        waiting = set(self.oracle.arrivals) - set(self.oracle.outcomes)
         assert waiting <= self.oracle.gone
         explanation = self.dispatcher.explain(self.now)
         assert explanation.queued == 0
@@ -453,14 +455,14 @@
 
 
 class FloorlessBoard(HealthBoard):
-    """Seed the fault: the floor is ignored."""
+    """Inject the fault that the floor is ignored."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
         super().__init__(replace(policy, floor=0), locality)
 
 
 class StaleBoard(HealthBoard):
-    """Seed the fault: a new life inherits its address's ejection."""
+    """Inject the fault that an ejection extends to the next incarnation."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
         super().__init__(policy, locality)
@@ -489,7 +491,7 @@
 
 
 class MispairingDispatcher(Dispatcher):
-    """Seed the fault: an answer is given to the caller before."""
+    """Inject the fault that an answer goes to the previous caller."""
 
     def __init__(self, *parts: Any) -> None:
         super().__init__(*parts)
@@ -510,7 +512,7 @@
 
 
 class DrainlessDispatcher(Dispatcher):
-    """Seed the fault: draining targets are treated as ready."""
+    """Inject the fault that draining targets are treated as ready."""
 
     def adopt_targets(
         self,
--- a/hillfield/routing/tests/test_hedging.py
+++ b/hillfield/routing/tests/test_hedging.py
@@ -1,4 +1,4 @@
-"""Second attempts of requests whose targets hang."""
+"""Hedges of requests whose targets hang."""
 
 from random import Random
 
@@ -28,7 +28,7 @@
 HERE = Locality('r', 'a', 'h')
 CALL = RequestPlan('s', 'call', '', True, 1.5, maximum_attempts=2, aim=0.4)
 ONCE = RequestPlan('s', 'post', '', False, 5, maximum_attempts=2, aim=1.5)
-# The fleet may repeat so many times in 10 s beside a fifth of its requests.
+# Retries that the fleet may send in 10 s beyond a fifth of its requests.
 SLACK = 60
 RATIO = 0.2
 NODES = 30
@@ -39,7 +39,7 @@
     plain = ServicePolicy('s')
     board = PathBoard(plain, HERE)
     dispatcher = Dispatcher(plain, HERE, board, Random(seed))
-    # As at a node: the service is set up before its policy is known.
+    # As at a node, the service is created before its policy is known.
     dispatcher.adopt_policy(0, policy)
     dispatcher.adopt_targets(
         0,
@@ -69,7 +69,7 @@
     dispatcher.finish(now + seconds, sent.attempt, Answered(200))
 
 
-def test_the_delay_follows_what_the_route_takes():
+def test_the_delay_follows_the_duration_of_the_route():
     dispatcher = make_dispatcher()
     for number in range(60):
         answer(dispatcher, f'r{number}', number, 0.1)
@@ -89,15 +89,15 @@
         )
 
 
-def test_work_that_runs_once_and_work_without_an_aim_has_no_delay():
+def test_non_idempotent_requests_and_those_without_aim_have_no_delay():
     dispatcher = make_dispatcher()
     assert dispatcher.find_hedge_delay(ONCE) is None
     plain = RequestPlan('s', 'r', '', True, 1.5)
     assert dispatcher.find_hedge_delay(plain) is None
 
 
-def test_attempts_cut_short_keep_the_delay_from_falling():
-    """The first of two that was cut was not counted, so hedges came sooner."""
+def test_cancelled_attempts_keep_the_delay_from_falling():
+    """Cancelled attempts were not counted, so hedges were sent ever earlier."""
     dispatcher = make_dispatcher()
     for number in range(40):
         answer(dispatcher, f'r{number}', number, 0.1)
@@ -112,8 +112,8 @@
     return dispatcher.finish(now, sent.attempt, Declined('full'))
 
 
-def test_a_second_attempt_that_a_gate_declines_goes_on():
-    """A declined hedge was lost, and the caller waited for the hung target."""
+def test_a_declined_hedge_is_sent_to_another_target():
+    """A declined hedge was dropped, and its caller waited for the hung target."""
     dispatcher = make_dispatcher()
     first = send(dispatcher, 'r')
     second = dispatcher.hedge(0.3, 'r')
@@ -126,7 +126,7 @@
     assert done.request == 'r'
 
 
-def test_a_declined_second_attempt_of_a_pair_leaves_the_first_alone():
+def test_a_declined_hedge_without_another_target_leaves_the_first_attempt():
     dispatcher = make_dispatcher(2)
     first = send(dispatcher, 'r')
     second = dispatcher.hedge(0.3, 'r')
@@ -135,7 +135,7 @@
 
 
 def hang_all(dispatcher, requests):
-    """Send requests that all hang over 10 s; return the second attempts."""
+    """Send requests that all hang, over 10 s; return the number of hedges."""
     hedged = 0
     for number in range(requests):
         now = 10 * number / requests
@@ -149,16 +149,16 @@
 
 
 @mark.parametrize('requests', (2, 5, 20))
-def test_a_service_that_hangs_gets_no_more_repeats_than_the_fleet_may(requests):
-    """Each node with a burst of its own would send up to 135 in 10 s."""
+def test_a_service_that_hangs_gets_no_more_hedges_than_allowed(requests):
+    """With a burst for each node, up to 135 would be sent in 10 s."""
     hedged = sum(
         hang_all(make_dispatcher(seed=seed), requests) for seed in range(NODES)
     )
     assert hedged <= SLACK + RATIO * requests * NODES
 
 
-def test_a_node_that_calls_seldom_still_hedges():
-    """A budget of answers alone gave such a node a hedge in 12 requests."""
+def test_a_node_with_few_requests_still_hedges():
+    """A budget earned by answers alone allowed one hedge in 12 requests."""
     dispatcher = make_dispatcher()
     hedged = 0
     for number in range(30):
--- a/hillfield/routing/tests/test_overload.py
+++ b/hillfield/routing/tests/test_overload.py
@@ -1,4 +1,4 @@
-"""Test the decisions as a whole against fake targets and callers."""
+"""All decisions together, against simulated targets and callers."""
 
 from msgspec.structs import replace
 from pytest import mark
@@ -17,9 +17,9 @@
     assert over >= 0.9 * max(below, peak)
 
 
-def test_no_collapse_where_many_nodes_fill_the_lines_of_targets():
-    # Four nodes with full slots make lines of four service times, near the
-    # deadline: without a window every answer came too late.
+def test_no_collapse_when_many_nodes_fill_the_queues_of_targets():
+    # Four nodes that use all slots make queues of four service times, which is
+    # near the deadline: without a window, every answer was late.
     setting = replace(SHARED, sheds=False, deadline=0.1, seconds=2)
     below, peak, over = measure_overload(setting, baseline=False)
     assert over >= 0.9 * max(below, peak)
@@ -27,15 +27,16 @@
 
 
 def test_unknown_stays_rare_under_overload():
-    # Requests sent too late to be answered in time would end as unknown.
+    # Requests sent too late to be answered in time end as unknown.
     setting = replace(SHARED, rate=3 * SHARED.capacity(), deadline=0.1)
     tally = measure_setting(setting, baseline=False)
     assert tally.unknown <= 0.01 * tally.arrived
 
 
 @mark.parametrize('seed', range(2, 9))
-def test_work_sent_too_late_to_be_answered_is_rare_with_any_seed(seed):
-    # By half of its route's usual time left, half of it ended as unknown.
+def test_requests_sent_too_late_are_rare_with_any_seed(seed):
+    # When requests were sent with half of the usual duration left, half of them
+    # ended as unknown.
     rate = 3 * SHARED.capacity()
     setting = replace(SHARED, rate=rate, deadline=0.1, seed=seed)
     tally = measure_setting(setting, baseline=False)
@@ -52,7 +53,7 @@
     assert answered / others >= 2 * greedy
 
 
-def test_slow_target_gets_little():
+def test_slow_target_gets_few_requests():
     setting = Setting(rate=500, seconds=2, slow=5, targets=8)
     tally = measure_setting(setting, baseline=False)
     first = make_targets(1, setting.slots)[0].id
@@ -62,8 +63,8 @@
 @mark.parametrize('seed', range(1, 9))
 @mark.parametrize('idempotent', [True, False])
 def test_a_burst_while_a_target_is_slow_is_answered(idempotent, seed):
-    # The other five targets have room for twice as much. Judged in modelled
-    # time: processes that share a processor are all slow at once.
+    # The other five targets have capacity for twice as much. Time is simulated,
+    # since real processes that share a processor are all slow at once.
     setting = Setting(
         nodes=2,
         targets=6,
@@ -88,14 +89,15 @@
 
 
 @mark.parametrize('slots', [0, 4])
-def test_each_caller_is_told_once(slots):
+def test_each_request_ends_once(slots):
     tally = measure_setting(replace(SHARED, slots=slots), baseline=False)
     assert tally.answered + tally.refused == tally.arrived
 
 
 @mark.parametrize(('slots', 'burst'), [(4, 5), (0, 10)])
 def test_bursts_bound_what_few_requests_send_in_a_total_failure(slots, burst):
-    # Full buckets of a node: for broken attempts, and for sheds (no slots).
+    # The burst is that of a full bucket: for broken attempts, or for sheds if
+    # the targets have no slots.
     setting = Setting(rate=100, seconds=0.3, slots=slots, broken=True)
     tally = measure_setting(setting, baseline=False)
     assert 10 < tally.arrived < 50
--- a/hillfield/routing/tests/test_placement.py
+++ b/hillfield/routing/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Where requests go, by what gates tell of their targets' room."""
+"""Selection of targets by the capacity that their gates report."""
 
 from random import Random
 from typing import Any
@@ -34,7 +34,7 @@
 
 
 class Fleet:
-    """Play the gates of two near and two far targets."""
+    """Stand in for the gates of two near and two far targets."""
 
     def __init__(self):
         policy = make_policy(0.2, 0.7)
@@ -52,7 +52,7 @@
         self.dispatcher.adopt_targets(0, targets)
         self.count = 0
 
-    def tell(self, number, free, waiting=0, held=Held.NOTHING, now=0):
+    def report(self, number, free, waiting=0, held=Held.NOTHING, now=0):
         self.count += 1
         identity = identify(number)
         self.dispatcher.adopt_report(
@@ -91,79 +91,79 @@
     return Fleet()
 
 
-def test_requests_stay_near_while_there_is_room(fleet):
-    """A busy near target made requests cross with all their bytes."""
+def test_requests_stay_near_while_slots_are_free(fleet):
+    """A busy near target made requests leave the failure domain."""
     for number in (*NEAR, *FAR):
-        fleet.tell(number, SLOTS)
+        fleet.report(number, SLOTS)
     assert fleet.place_many(2 * SLOTS) <= set(NEAR)
 
 
-def test_what_this_node_sends_counts_before_the_next_report(fleet):
-    fleet.tell(0, 1)
-    fleet.tell(1, 1)
-    fleet.tell(2, 5)
-    fleet.tell(3, 5)
+def test_sent_requests_count_before_the_next_report(fleet):
+    fleet.report(0, 1)
+    fleet.report(1, 1)
+    fleet.report(2, 5)
+    fleet.report(3, 5)
     first = [fleet.place(name) for name in 'ab']
     assert set(first) == set(NEAR)
 
 
-def test_a_short_wait_nearby_goes_before_a_way_across(fleet):
+def test_a_short_wait_nearby_is_preferred_to_another_domain(fleet):
     fleet.learn(0.4)
     for number in NEAR:
-        fleet.tell(number, 0)
+        fleet.report(number, 0)
     for number in FAR:
-        fleet.tell(number, SLOTS)
+        fleet.report(number, SLOTS)
     assert fleet.place() in NEAR
 
 
-def test_a_wait_that_makes_the_answer_late_sends_it_across(fleet):
+def test_a_wait_that_makes_the_answer_late_leaves_the_domain(fleet):
     fleet.learn(0.4)
     for number in NEAR:
-        fleet.tell(number, 0, waiting=15)
+        fleet.report(number, 0, waiting=15)
     for number in FAR:
-        fleet.tell(number, SLOTS)
+        fleet.report(number, SLOTS)
     assert fleet.place() in FAR
 
 
-def test_where_all_are_full_nothing_crosses_in_vain(fleet):
-    """Of 9,500 requests sent across on an overloaded day 8,300 came back."""
+def test_if_all_targets_are_full_no_request_leaves_the_domain(fleet):
+    """Of 9,500 requests sent to other domains, 8,300 were declined there."""
     fleet.learn(0.4)
     for number in NEAR:
-        fleet.tell(number, 0, waiting=15)
+        fleet.report(number, 0, waiting=15)
     for number in FAR:
-        fleet.tell(number, 0, waiting=15)
+        fleet.report(number, 0, waiting=15)
     assert fleet.place() in NEAR
 
 
-def test_work_that_runs_once_avoids_what_is_suspected(fleet):
-    fleet.tell(0, SLOTS, held=Held.ONCE)
-    fleet.tell(1, SLOTS)
+def test_non_idempotent_requests_avoid_suspected_targets(fleet):
+    fleet.report(0, SLOTS, held=Held.ONCE)
+    fleet.report(1, SLOTS)
     assert fleet.place_many(4) == {1}
 
 
-def test_lookups_do_not_avoid_a_mere_suspect(fleet):
-    fleet.tell(0, SLOTS, held=Held.ONCE)
-    fleet.tell(1, SLOTS)
+def test_idempotent_requests_do_not_avoid_suspected_targets(fleet):
+    fleet.report(0, SLOTS, held=Held.ONCE)
+    fleet.report(1, SLOTS)
     assert fleet.place_many(8, LOOKUP) == {0, 1}
 
 
-def test_only_a_gate_that_asks_for_a_trial_gets_one(fleet):
+def test_only_a_gate_that_waits_for_a_trial_gets_one(fleet):
     fleet.dispatcher.tick(10)
-    fleet.tell(0, SLOTS, held=Held.ALL)
-    fleet.tell(1, SLOTS)
+    fleet.report(0, SLOTS, held=Held.ALL)
+    fleet.report(1, SLOTS)
     assert fleet.place_many(4, LOOKUP) == {1}
-    fleet.tell(0, SLOTS, held=Held.USUAL)
-    fleet.tell(1, SLOTS)
+    fleet.report(0, SLOTS, held=Held.USUAL)
+    fleet.report(1, SLOTS)
     assert fleet.place_many(6, LOOKUP) == {0, 1}
 
 
-def test_held_targets_are_the_last_choice(fleet):
+def test_targets_that_withhold_all_work_are_the_last_choice(fleet):
     for number in (*NEAR, *FAR):
-        fleet.tell(number, SLOTS, held=Held.ALL)
+        fleet.report(number, SLOTS, held=Held.ALL)
     assert fleet.place() in {*NEAR, *FAR}
 
 
-def test_a_late_report_changes_nothing():
+def test_an_older_report_changes_nothing():
     capacities = CapacityTable()
     address = identify(0).address
     newer = LoadReport('s', address.ip, address.port, 1, 9, 0)
@@ -173,7 +173,7 @@
     assert capacities.list_full(0) == (identify(0),)
 
 
-def test_old_reports_are_not_believed():
+def test_reports_expire():
     capacities = CapacityTable()
     address = identify(0).address
     report = LoadReport('s', address.ip, address.port, 1, 1, 0)
@@ -183,8 +183,8 @@
     assert not capacities.list_full(REPORT_LIFETIME + 0.1)
 
 
-def test_what_has_ended_gives_its_room_back():
-    """Reports are rare where many nodes listen, requests aren't."""
+def test_the_end_of_a_request_restores_capacity():
+    """With many receiving nodes, reports are rarer than requests."""
     capacities = CapacityTable()
     report = LoadReport('s', '10.0.0.1', 80, 1, 1, 1)
     capacities.record_report(0, report)
@@ -194,7 +194,7 @@
     assert not capacities.list_full(0)
 
 
-def test_what_a_newer_report_counts_is_not_given_back():
+def test_requests_that_a_newer_report_counts_restore_nothing():
     capacities = CapacityTable()
     report = LoadReport('s', '10.0.0.1', 80, 1, 1, 1)
     capacities.record_report(0, report)
--- a/hillfield/routing/tests/test_ratelimits.py
+++ b/hillfield/routing/tests/test_ratelimits.py
@@ -1,4 +1,4 @@
-"""Requests to a service whose targets take no more than they name."""
+"""Requests to a service whose targets are at their rate limits."""
 
 from itertools import starmap
 from operator import sub
@@ -32,7 +32,7 @@
 
 
 class Service:
-    """Play three targets of one failure domain, and what they tell."""
+    """Stand in for three targets of one failure domain and their gates."""
 
     def __init__(self):
         policy = make_policy(0.2, 0.7)
@@ -44,7 +44,7 @@
         )
         self.count = 0
 
-    def tell(self, target, free, wait, rate=2.0, held=Held.NOTHING):
+    def report(self, target, free, wait, rate=2.0, held=Held.NOTHING):
         self.count += 1
         notice = None if rate is None else LifeNotice('i', rate)
         self.dispatcher.adopt_report(
@@ -62,7 +62,7 @@
             ),
         )
 
-    def ask(self, name='a', now=0):
+    def send(self, name='a', now=0):
         arrival = Arrival(name, PLAN, now + 4, True)
         return self.dispatcher.admit(now, arrival)
 
@@ -71,12 +71,12 @@
 def service():
     made = Service()
     for target in TARGETS:
-        made.tell(target, 0, 2.0)
+        made.report(target, 0, 2.0)
     return made
 
 
-def test_what_no_target_takes_in_time_is_refused_at_once(service):
-    decision = service.ask()
+def test_a_request_that_no_target_accepts_in_time_is_refused(service):
+    decision = service.send()
     assert isinstance(decision, Refuse)
     assert decision.failure.event == EventCode.SERVICE_LIMITED
     assert decision.failure.outcome is Outcome.NOT_RUN
@@ -84,58 +84,58 @@
     assert 2 <= returns <= 4
 
 
-def test_those_refused_together_do_not_return_together(service):
-    told = [service.ask(f'r{number}').failure for number in range(20)]
-    returns = sorted(failure.retry_after for failure in told)
+def test_requests_refused_together_are_not_retried_together(service):
+    failures = [service.send(f'r{number}').failure for number in range(20)]
+    returns = sorted(failure.retry_after for failure in failures)
     gaps = starmap(sub, zip(returns[1:], returns))
     assert min(gaps) > LEAST_GAP
 
 
-def test_one_target_with_a_turn_left_takes_it(service):
-    service.tell(TARGETS[1], 1, 0)
-    decision = service.ask()
+def test_a_target_below_its_limit_gets_the_request(service):
+    service.report(TARGETS[1], 1, 0)
+    decision = service.send()
     assert isinstance(decision, Send)
     assert decision.target == TARGETS[1]
 
 
-def test_one_target_that_names_no_limit_is_waited_for(service):
-    service.tell(TARGETS[1], 0, 2.0, rate=None)
-    assert not isinstance(service.ask(), Refuse)
+def test_requests_wait_for_a_target_without_a_limit(service):
+    service.report(TARGETS[1], 0, 2.0, rate=None)
+    assert not isinstance(service.send(), Refuse)
 
 
-def test_a_turn_that_comes_in_time_is_waited_for(service):
-    service.tell(TARGETS[2], 0, 0.1)
-    assert not isinstance(service.ask(), Refuse)
+def test_requests_wait_for_a_limit_that_admits_them_in_time(service):
+    service.report(TARGETS[2], 0, 0.1)
+    assert not isinstance(service.send(), Refuse)
 
 
-def test_a_target_that_is_held_back_promises_no_turn(service):
-    service.tell(TARGETS[2], 0, 0.1, held=Held.ALL)
-    assert isinstance(service.ask(), Refuse)
+def test_a_target_whose_gate_withholds_work_is_not_waited_for(service):
+    service.report(TARGETS[2], 0, 0.1, held=Held.ALL)
+    assert isinstance(service.send(), Refuse)
 
 
-def test_a_decline_that_tells_of_a_long_wait_is_not_followed_by_others():
+def test_a_request_declined_at_the_limits_is_not_sent_on():
     service = Service()
     for target in TARGETS:
-        service.tell(target, 1, 0)
-    sent = service.ask()
+        service.report(target, 1, 0)
+    sent = service.send()
     for target in TARGETS:
-        service.tell(target, 0, 2.0)
+        service.report(target, 0, 2.0)
     decision = service.dispatcher.finish(0.01, sent.attempt, Declined('late'))
     assert isinstance(decision, Refuse)
 
 
-def test_the_end_of_a_request_brings_no_turn_back():
+def test_the_end_of_a_request_restores_no_rate():
     service = Service()
     for target in TARGETS[1:]:
-        service.tell(target, 0, 2.0)
-    service.tell(TARGETS[0], 1, 0)
-    sent = service.ask()
+        service.report(target, 0, 2.0)
+    service.report(TARGETS[0], 1, 0)
+    sent = service.send()
     service.dispatcher.note_written(0, sent.attempt)
     service.dispatcher.finish(0.1, sent.attempt, Answered(200))
     capacities = service.dispatcher.explain(0.1).rooms
     assert {room.free for room in capacities} == {0}
 
 
-def test_a_node_that_is_told_nothing_more_asks_again(service):
-    assert isinstance(service.ask('a', 0.5), Refuse)
-    assert not isinstance(service.ask('b', 1.5), Refuse)
+def test_a_node_without_new_reports_tries_again(service):
+    assert isinstance(service.send('a', 0.5), Refuse)
+    assert not isinstance(service.send('b', 1.5), Refuse)
--- a/hillfield/routing/tests/test_retention.py
+++ b/hillfield/routing/tests/test_retention.py
@@ -1,4 +1,4 @@
-"""Test the comparison of keep times."""
+"""Costs of the policies for idle connections."""
 
 from pytest import mark
 
--- a/hillfield/routing/tests/test_selection.py
+++ b/hillfield/routing/tests/test_selection.py
@@ -1,4 +1,4 @@
-"""Which target gets the next attempt."""
+"""Choice of the target for the next attempt."""
 
 from collections import Counter
 from heapq import heappop, heappush
@@ -59,17 +59,17 @@
     return chosen[TARGETS[0].id]
 
 
-def test_a_late_target_gets_little():
+def test_a_slow_target_gets_few_requests():
     assert count_choices(watched=False) < CHOICES / 40
 
 
-def test_a_suspected_target_gets_its_share_all_the_same():
-    """A target stayed suspected for 14 s: 2 of 700 requests went there."""
+def test_a_suspected_slow_target_still_gets_its_share():
+    """With 2 of 700 requests, a target stayed suspected for 14 s."""
     assert count_choices(watched=True) > CHOICES / 8
 
 
 def serve(dispatcher, now, number):
-    """Let a request be answered at once, late by the one slow target."""
+    """Send a request; return when it is answered, and its attempt."""
     arrival = Arrival(f'r{number}', LOOKUP, now + 5, True)
     sent = dispatcher.admit(now, arrival)
     seconds = SLOW if sent.target == TARGETS[0].id else QUICK
@@ -77,7 +77,7 @@
     return now + seconds, sent.attempt
 
 
-def test_a_suspicion_is_decided_soon():
+def test_a_suspected_target_is_decided_on_soon():
     policy = ServicePolicy('s')
     board = HealthBoard(policy, HERE)
     dispatcher = Dispatcher(policy, HERE, board, Random(1))
@@ -97,20 +97,20 @@
     assert suspected / 50 < 1
 
 
-def list_watched(observation, seconds):
-    """Return whether a target that just became suspected is watched."""
+def becomes_watched(observation, seconds):
+    """Tell whether a target that just became suspected is watched."""
     board = HealthBoard(ServicePolicy('s'), HERE)
     board.adopt_targets(0, TARGETS)
     for number in range(60):
         target = TARGETS[number % 6].id
         start = number / 100
         end = start + QUICK
-        told = Answered(200)
+        seen = Answered(200)
         if target == TARGETS[0].id:
             end = start + seconds
-            told = observation
+            seen = observation
         board.note_started(start, target, number)
-        board.observe(end, target, number, told)
+        board.observe(end, target, number, seen)
         board.tick(end)
         if board.explain(end)[0].state == Health.SUSPECTED:
             return board.rotation().candidates[0].watched
@@ -118,9 +118,9 @@
 
 
 def test_a_target_that_answers_late_is_watched():
-    assert list_watched(Answered(200), SLOW)
+    assert becomes_watched(Answered(200), SLOW)
 
 
 def test_a_target_that_fails_is_not_watched():
-    """One lookup more failed at a flapping target than could be repeated."""
-    assert not list_watched(Answered(500, 'status'), QUICK)
+    """More lookups failed at a flapping target than could be retried."""
+    assert not becomes_watched(Answered(500, 'status'), QUICK)
--- a/hillfield/routing/tests/test_subsets.py
+++ b/hillfield/routing/tests/test_subsets.py
@@ -1,4 +1,4 @@
-"""Test which targets a node connects to."""
+"""Choice of the targets that a node connects to."""
 
 from collections import Counter
 from itertools import cycle
@@ -21,18 +21,19 @@
     return Locality('north', 'abc'[node % 3], f'node{node}')
 
 
-KESTRELMOOR = ((21, 15), (21, 6))
-LOST_PROPERTY = ((33, 25), (33, 8))
+# Nodes and targets of the services of two deployed fleets.
+SMALLER_FLEET = ((21, 15), (21, 6))
+LARGER_FLEET = ((33, 25), (33, 8))
 
 
-@mark.parametrize(('nodes', 'count'), KESTRELMOOR + LOST_PROPERTY)
-def test_users_services_are_used_whole(nodes, count):
+@mark.parametrize(('nodes', 'count'), SMALLER_FLEET + LARGER_FLEET)
+def test_all_targets_of_a_small_service_are_used(nodes, count):
     targets = make_targets(count, 4)
     assert choose_subset(targets, locate(0), nodes) == targets
 
 
 @mark.parametrize('count', [6, 30, 100])
-def test_connection_limit_holds_at_the_size_to_design_for(count):
+def test_connection_limit_holds_in_the_largest_fleet(count):
     targets = make_targets(count, 4)
     users: Counter[object] = Counter()
     for node in range(600):
@@ -45,7 +46,7 @@
 
 @given(st.integers(33, 200), st.integers(0, 500))
 @settings(derandomize=True, max_examples=30, deadline=None)
-def test_a_target_that_goes_moves_one_place(count, node):
+def test_removing_a_target_changes_one_place(count, node):
     targets = make_targets(count, 4)
     before = set(choose_subset(targets, locate(node), 21))
     gone = min(before, key=lambda target: target.id)
@@ -56,7 +57,7 @@
     assert len(local) >= 2
 
 
-def test_draining_targets_stay_known_and_take_no_place():
+def test_draining_targets_stay_known_beyond_the_subset_size():
     targets = make_targets(50, 4)
     leaving = replace(targets[0], state=TargetState.DRAINING)
     announced = (leaving, *targets[1:])
@@ -66,7 +67,7 @@
 
 
 def test_half_of_a_subset_is_of_the_own_failure_domain():
-    """Of 178 targets in five domains a node had six nearby."""
+    """Of 178 targets in five domains, a node had six of its own domain."""
     domains = cycle('abcde')
     targets = tuple(
         replace(target, locality=Locality('north', domain, 't'))
@@ -80,7 +81,7 @@
 
 
 def test_near_targets_are_used_evenly():
-    """The most used of 35 has at most twice the users of the mean."""
+    """The most used of 35 targets has at most twice the mean users."""
     targets = tuple(
         replace(target, locality=Locality('north', 'a', f't{number}'))
         for number, target in enumerate(make_targets(35, 3))
--- a/hillfield/routing/tests/test_table.py
+++ b/hillfield/routing/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Test the table of dispatchers."""
+"""The table of dispatchers."""
 
 from random import Random
 from typing import Any
@@ -51,11 +51,11 @@
 
 
 class ListeningBoard(HealthBoard):
-    """Remember what other nodes told."""
+    """Record the evidence received from other nodes."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
         super().__init__(policy, locality)
-        self.heard: list[Any] = []
+        self.received: list[Any] = []
 
     def adopt_evidence(
         self,
@@ -64,7 +64,7 @@
         domain: str,
         evidence: tuple[Evidence, ...],
     ) -> None:
-        self.heard.append((now, node, evidence))
+        self.received.append((now, node, evidence))
 
 
 @mark.parametrize(('board', 'dispatcher'), KINDS)
@@ -107,20 +107,20 @@
 
 def test_evidence_of_a_node_is_replaced_and_withdrawn():
     table = make_table(ListeningBoard)
-    sick = make_targets(1)[0].id
-    told = Evidence(sick, Symptom.BROKEN, 50, 50, 1)
+    failing = make_targets(1)[0].id
+    piece = Evidence(failing, Symptom.BROKEN, 50, 50, 1)
     board = table.for_service('claims').board
     table.for_service('other')
-    table.adopt_evidence(1, 'n1', 'b', (told,))
+    table.adopt_evidence(1, 'n1', 'b', (piece,))
     table.adopt_evidence(2, 'n2', 'b', ())
     table.adopt_evidence(3, 'n1', 'b', ())
     table.adopt_evidence(4, 'n1', 'b', ())
-    heard = [(1, 'n1', (told,)), (3, 'n1', ())]
-    assert board.heard == heard
-    assert table.for_service('other').board.heard == []
+    received = [(1, 'n1', (piece,)), (3, 'n1', ())]
+    assert board.received == received
+    assert table.for_service('other').board.received == []
 
 
-def test_connections_are_shared_by_all_nodes_also_in_a_partition():
+def test_connection_limits_are_shared_by_all_nodes_also_in_a_partition():
     table = make_table()
     targets = tuple(replace(target, slots=8) for target in make_targets(3))
     table.adopt_targets(0, 'claims', targets)
@@ -146,7 +146,7 @@
 
 
 def test_quiet_services_are_ticked_once_a_second():
-    """Ticks of 260 idle services cost a node 2% of a core."""
+    """Ticking 260 idle services at each tick took 2% of a core."""
     table = make_table(CountingBoard)
     board = table.for_service('claims').board
     for number in range(1000):
@@ -159,8 +159,8 @@
     assert board.ticks == before + 10
 
 
-def test_evidence_sets_up_no_service_that_is_not_served():
-    """A node pays only for the services that its callers ask for."""
+def test_evidence_creates_no_dispatcher():
+    """A node only creates dispatchers of services that its callers use."""
     table = make_table()
     identity = TargetId('claims', Address('127.0.0.1', 9000), 1)
     evidence = (Evidence(identity, Symptom.WRONG, 4, 4, 1),)
@@ -169,7 +169,7 @@
 
 
 def test_a_service_with_a_long_request_is_not_quiet():
-    """A request may be at a target for longer than a service counts as used."""
+    """A request may be in flight for longer than a service counts as used."""
     table = make_table(CountingBoard)
     table.adopt_targets(0, 'claims', make_targets(2))
     found = table.for_service('claims')
--- a/hillfield/routing/tests/test_waiting.py
+++ b/hillfield/routing/tests/test_waiting.py
@@ -1,4 +1,4 @@
-"""Who goes first where a service is crowded, and how long one waits."""
+"""Order and length of waits while a service is overloaded."""
 
 from random import Random
 from typing import Any
@@ -26,12 +26,12 @@
 CHECK = RequestPlan('s', 'check', '', True, 0.8, maximum_attempts=2)
 CALL = RequestPlan('s', 'call', '', True, 1.5, maximum_attempts=2, aim=0.4)
 SLOTS = 2
-AFTER_CROWD = 50
+OVERLOAD_START = 50
 
 
 @fixture
-def crowded():
-    """Return decisions of one target whose slots are taken."""
+def overloaded():
+    """Return a dispatcher of one target without free slots, and its requests."""
     plain = ServicePolicy('s')
     board = PathBoard(plain, HERE)
     made = Dispatcher(plain, HERE, board, Random(1))
@@ -43,7 +43,7 @@
         sent: Any = send(made, f'l{step}', step, plan)
         made.note_written(step, sent.attempt)
         made.finish(step + seconds, sent.attempt, Answered(200))
-    return made, [send(made, name, AFTER_CROWD) for name in 'xy']
+    return made, [send(made, name, OVERLOAD_START) for name in 'xy']
 
 
 def send(dispatcher, name, now, plan=LONG):
@@ -51,79 +51,79 @@
     return dispatcher.admit(now, arrival)
 
 
-def test_quick_requests_go_before_long_ones_that_came_first(crowded):
-    """Calls that were refused behind long requests failed their parents."""
-    dispatcher, running = crowded
-    assert isinstance(send(dispatcher, 'long', AFTER_CROWD), Wait)
-    assert isinstance(send(dispatcher, 'call', AFTER_CROWD, CALL), Wait)
-    dispatcher.note_written(AFTER_CROWD, running[0].attempt)
-    dispatcher.finish(AFTER_CROWD + 0.1, running[0].attempt, Answered(200))
-    served = dispatcher.poll(AFTER_CROWD + 0.1)
+def test_quick_requests_go_before_long_ones_that_came_first(overloaded):
+    """Calls refused behind long requests failed the requests that made them."""
+    dispatcher, running = overloaded
+    assert isinstance(send(dispatcher, 'long', OVERLOAD_START), Wait)
+    assert isinstance(send(dispatcher, 'call', OVERLOAD_START, CALL), Wait)
+    dispatcher.note_written(OVERLOAD_START, running[0].attempt)
+    dispatcher.finish(OVERLOAD_START + 0.1, running[0].attempt, Answered(200))
+    served = dispatcher.poll(OVERLOAD_START + 0.1)
     assert [decision.request for decision in served] == ['call']
 
 
-def test_a_wait_in_vain_ends_long_before_the_deadline(crowded):
-    """Requests were told 503 at 5.2 s, untried, of 1.5 s that count."""
-    dispatcher = crowded[0]
-    send(dispatcher, 'long', AFTER_CROWD)
-    over = AFTER_CROWD + STALE_AIM_FACTOR * LONG.aim
-    assert not dispatcher.poll(AFTER_CROWD + 1)
+def test_a_hopeless_wait_ends_long_before_the_deadline(overloaded):
+    """Requests with an aim of 1.5 s were refused, unsent, after 5.2 s."""
+    dispatcher = overloaded[0]
+    send(dispatcher, 'long', OVERLOAD_START)
+    over = OVERLOAD_START + STALE_AIM_FACTOR * LONG.aim
+    assert not dispatcher.poll(OVERLOAD_START + 1)
     refused = dispatcher.poll(over)
     assert [type(decision) for decision in refused] == [Refuse]
     assert refused[0].failure.outcome is Outcome.NOT_RUN
     assert refused[0].failure.retry_after
 
 
-def test_quick_requests_wait_to_their_deadline(crowded):
-    dispatcher, running = crowded
-    send(dispatcher, 'call', AFTER_CROWD, CALL)
-    assert not dispatcher.poll(AFTER_CROWD + 1)
-    dispatcher.note_written(AFTER_CROWD, running[0].attempt)
-    dispatcher.finish(AFTER_CROWD + 1, running[0].attempt, Answered(200))
-    assert isinstance(dispatcher.poll(AFTER_CROWD + 1)[0], Send)
+def test_quick_requests_wait_to_their_deadline(overloaded):
+    dispatcher, running = overloaded
+    send(dispatcher, 'call', OVERLOAD_START, CALL)
+    assert not dispatcher.poll(OVERLOAD_START + 1)
+    dispatcher.note_written(OVERLOAD_START, running[0].attempt)
+    dispatcher.finish(OVERLOAD_START + 1, running[0].attempt, Answered(200))
+    assert isinstance(dispatcher.poll(OVERLOAD_START + 1)[0], Send)
 
 
-def test_routes_of_high_rank_go_before_others_that_came_first(crowded):
-    """Where few slots are left, what ranks highest isn't starved by others.
+def test_routes_of_high_priority_go_before_earlier_requests(overloaded):
+    """While few slots are left, the highest priority is not starved.
 
-    Six targets of which most were restarted served 10 of 66 requests of the
-    highest rank while 70 in 100 of all others were served.
+    While most of six targets restarted, 10 of 66 requests of the highest
+    priority were served, but 70 in 100 of all others.
     """
-    dispatcher, running = crowded
+    dispatcher, running = overloaded
     usual = replace(LONG, priority=2)
     urgent = replace(LONG, priority=0)
     for number in range(3):
-        waits = send(dispatcher, f'usual{number}', AFTER_CROWD, usual)
+        waits = send(dispatcher, f'usual{number}', OVERLOAD_START, usual)
         assert isinstance(waits, Wait)
-    assert isinstance(send(dispatcher, 'urgent', AFTER_CROWD, urgent), Wait)
-    dispatcher.note_written(AFTER_CROWD, running[0].attempt)
-    dispatcher.finish(AFTER_CROWD + 0.1, running[0].attempt, Answered(200))
-    served = dispatcher.poll(AFTER_CROWD + 0.1)
+    assert isinstance(send(dispatcher, 'urgent', OVERLOAD_START, urgent), Wait)
+    dispatcher.note_written(OVERLOAD_START, running[0].attempt)
+    dispatcher.finish(OVERLOAD_START + 0.1, running[0].attempt, Answered(200))
+    served = dispatcher.poll(OVERLOAD_START + 0.1)
     assert [decision.request for decision in served] == ['urgent']
 
 
-def test_high_rank_is_not_refused_for_the_number_of_others(crowded):
-    """Its wait is counted from those before it, not from all that wait."""
-    dispatcher, _ = crowded
+def test_high_priority_is_not_refused_for_the_number_of_others(overloaded):
+    """Only the requests before it count for its wait, not all that wait."""
+    dispatcher, _ = overloaded
     usual = replace(LONG, priority=2)
     short = replace(LONG, priority=0, deadline=1.2)
     for number in range(8):
-        send(dispatcher, f'usual{number}', AFTER_CROWD, usual)
-    assert isinstance(send(dispatcher, 'low', AFTER_CROWD, short), Wait)
+        send(dispatcher, f'usual{number}', OVERLOAD_START, usual)
+    assert isinstance(send(dispatcher, 'high', OVERLOAD_START, short), Wait)
 
 
-def test_without_an_aim_a_short_deadline_is_not_measured_by_other_work(crowded):
-    dispatcher, running = crowded
+def test_without_an_aim_other_routes_do_not_refuse_a_request(overloaded):
+    dispatcher, running = overloaded
     for busy in running:
-        dispatcher.note_written(AFTER_CROWD, busy.attempt)
-        dispatcher.finish(AFTER_CROWD + 1, busy.attempt, Answered(200))
+        dispatcher.note_written(OVERLOAD_START, busy.attempt)
+        dispatcher.finish(OVERLOAD_START + 1, busy.attempt, Answered(200))
     for number in range(20):
         plan, seconds = (LONG, 1) if number % 4 else (CHECK, 0.01)
-        moment = AFTER_CROWD + 2 * number + 2
+        moment = OVERLOAD_START + 2 * number + 2
         sent = send(dispatcher, f'c{number}', moment, plan)
         dispatcher.note_written(moment, sent.attempt)
         dispatcher.finish(moment + seconds, sent.attempt, Answered(200))
-    later = AFTER_CROWD + 50
+    later = OVERLOAD_START + 50
     taken = [send(dispatcher, name, later) for name in 'pq']
     assert [type(decision) for decision in taken] == [Send, Send]
     assert isinstance(send(dispatcher, 'check', later, CHECK), Wait)
