--- a/hillfield/holding/__init__.py
+++ b/hillfield/holding/__init__.py
@@ -8,7 +8,7 @@
     make_limits,
     share_with_callers,
 )
-from hillfield.holding.holders import Holder
+from hillfield.holding.reservations import Holder
 from hillfield.holding.pools import BytePool
 
 __all__ = (
--- a/hillfield/routing/bench.py
+++ b/hillfield/routing/bench.py
@@ -138,35 +138,35 @@
 
 
 @dataclass(slots=True)
-class FakeTarget:
+class SimulatedTarget:
     """Hold a simulated target's queue and busy slots."""
 
     target: Target
     factor: float
     busy: int = 0
-    line: deque[tuple[int, Send]] = field(default_factory=deque)
+    queue: deque[tuple[int, Send]] = field(default_factory=deque)
 
 
 def make_targets(number: int, slots: int) -> tuple[Target, ...]:
     """Return targets spread evenly over three failure domains."""
     return tuple(
         Target(
-            TargetId(SERVICE, Address('127.0.0.1', FIRST_PORT + place), 1),
-            Locality('north', 'abc'[place % DOMAINS], f'h{place}'),
+            TargetId(SERVICE, Address('127.0.0.1', FIRST_PORT + number), 1),
+            Locality('north', 'abc'[number % DOMAINS], f'h{number}'),
             slots,
             CONNECTION_LIMIT,
         )
-        for place in range(number)
+        for number in range(number)
     )
 
 
-class Bench:
+class Simulation:
     """Simulate one setting with one kind of dispatcher and detector."""
 
     def __init__(
         self,
         setting: Setting,
-        board_kind: Any,
+        detector_kind: Any,
         dispatcher_kind: Any,
     ) -> None:
         """Create the targets, the nodes and an empty tally."""
@@ -179,24 +179,26 @@
         self._live: dict[tuple[int, int], Send] = {}
         targets = make_targets(setting.targets, setting.slots)
         self._targets = {
-            target.id: FakeTarget(target, factor=1) for target in targets
+            target.id: SimulatedTarget(target, factor=1) for target in targets
         }
         self._targets[targets[0].id].factor = setting.slow
         self._nodes = tuple(
-            _open_node(node, setting, board_kind, dispatcher_kind)
+            _open_node(node, setting, detector_kind, dispatcher_kind)
             for node in range(setting.nodes)
         )
 
     def run(self) -> Tally:
         """Run to the end and return the tally."""
-        self._at(0, self._arrive, ())
-        self._at(0, self._tick, (1,))
+        self._schedule(0, self._arrive, ())
+        self._schedule(0, self._tick, (1,))
         while self._events:
             event = heappop(self._events)
             event.action(event.when, *event.details)
         return self.tally
 
-    def _at(self, when: float, action: Any, details: tuple[Any, ...]) -> None:
+    def _schedule(
+        self, when: float, action: Any, details: tuple[Any, ...]
+    ) -> None:
         heappush(self._events, Event(when, next(self._order), action, details))
 
     def _arrive(self, now: float) -> None:
@@ -204,11 +206,11 @@
         if now > setting.seconds:
             return
         gap = self._random.expovariate(setting.find_rate(now))
-        self._at(now + gap, self._arrive, ())
+        self._schedule(now + gap, self._arrive, ())
         node = self._random.randrange(setting.nodes)
         arrival = self._make_arrival(now)
         self._arrivals[arrival.request] = arrival
-        self._take(now, node, self._nodes[node].admit(now, arrival))
+        self._apply_decision(now, node, self._nodes[node].admit(now, arrival))
 
     def _make_arrival(self, now: float) -> Arrival:
         setting = self._setting
@@ -227,7 +229,7 @@
         name = str(self.tally.arrived)
         return Arrival(name, plan, now + setting.deadline, replayable=True)
 
-    def _take(self, now: float, node: int, decision: Verdict) -> None:
+    def _apply_decision(self, now: float, node: int, decision: Verdict) -> None:
         if isinstance(decision, Refuse):
             self.tally.refused += 1
             self.tally.unknown += decision.failure.outcome == 'unknown'
@@ -239,8 +241,8 @@
         self._live[node, decision.attempt] = decision
         self._nodes[node].note_written(now, decision.attempt)
         arrival = self._arrivals[decision.request]
-        ending = (node, decision.attempt, TimedOut())
-        self._at(arrival.expires, self._end, ending)
+        details = (node, decision.attempt, TimedOut())
+        self._schedule(arrival.expires, self._end, details)
         self._serve(now, node, decision)
 
     def _serve(self, now: float, node: int, send: Send) -> None:
@@ -248,17 +250,17 @@
         refusal: Observation = BREAK if self._setting.broken else SHED
         full = fake.busy >= self._setting.slots
         if full and not self._setting.sheds:
-            fake.line.append((node, send))
+            fake.queue.append((node, send))
         elif full or self._setting.broken:
-            ending = (node, send.attempt, refusal)
-            self._at(now + SHED_SECONDS, self._end, ending)
+            details = (node, send.attempt, refusal)
+            self._schedule(now + SHED_SECONDS, self._end, details)
         else:
             self._start(now, fake, node, send)
 
     def _start(
         self,
         now: float,
-        fake: FakeTarget,
+        fake: SimulatedTarget,
         node: int,
         send: Send,
     ) -> None:
@@ -266,18 +268,18 @@
         factor = fake.factor if now >= self._setting.slow_since else 1
         mean = self._setting.service_time * factor
         seconds = mean * (0.5 + self._random.random())
-        self._at(now + seconds, self._complete, (fake, node, send))
+        self._schedule(now + seconds, self._complete, (fake, node, send))
 
     def _complete(
         self,
         now: float,
-        fake: FakeTarget,
+        fake: SimulatedTarget,
         node: int,
         send: Send,
     ) -> None:
         fake.busy -= 1
-        if fake.line:
-            self._start(now, fake, *fake.line.popleft())
+        if fake.queue:
+            self._start(now, fake, *fake.queue.popleft())
         self._end(now, node, send.attempt, ANSWER)
 
     def _end(
@@ -298,12 +300,14 @@
             greedy = arrival.plan.account == str(GREEDY)
             self.tally.greedy_answered += int(greedy)
             self.tally.latencies.append(now - arrived)
-        self._take(now, node, dispatcher.finish(now, attempt, observation))
+        self._apply_decision(
+            now, node, dispatcher.finish(now, attempt, observation)
+        )
         self._poll(now, node)
 
     def _poll(self, now: float, node: int) -> None:
         for decision in self._nodes[node].poll(now):
-            self._take(now, node, decision)
+            self._apply_decision(now, node, decision)
 
     def _tick(self, now: float, number: int) -> None:
         for node, dispatcher in enumerate(self._nodes):
@@ -311,23 +315,23 @@
             if number % TICKS == 0:
                 dispatcher.tick(now)
         if now < self._setting.seconds + self._setting.deadline:
-            self._at(now + POLL_SECONDS, self._tick, (number + 1,))
+            self._schedule(now + POLL_SECONDS, self._tick, (number + 1,))
 
 
 def _open_node(
     node: int,
     setting: Setting,
-    board_kind: Any,
+    detector_kind: Any,
     dispatcher_kind: Any,
 ) -> Dispatcher:
     domain = 'abc'[node % DOMAINS]
     locality = replace(LOCALITY, failure_domain=domain, host=f'h{node}')
-    board: Board = board_kind(setting.policy, locality)
+    detector: Board = detector_kind(setting.policy, locality)
     random = Random(setting.seed + node)
     dispatcher: Dispatcher = dispatcher_kind(
         setting.policy,
         locality,
-        board,
+        detector,
         random,
     )
     targets = make_targets(setting.targets, setting.slots)
--- a/hillfield/routing/dispatcher.py
+++ b/hillfield/routing/dispatcher.py
@@ -28,11 +28,11 @@
         self,
         policy: ServicePolicy,
         locality: Locality,
-        board: Board,
+        detector: Board,
         random: Random,
     ) -> None:
         """Start without targets; `random` is seeded by the caller."""
-        super().__init__(open_service(policy, locality, board, random))
+        super().__init__(open_service(policy, locality, detector, random))
         self._locality = locality
         self._overloaded = False
         self._retries_exhausted = False
--- a/hillfield/routing/durations.py
+++ b/hillfield/routing/durations.py
@@ -31,12 +31,12 @@
 
 
 @dataclass(slots=True)
-class Duration:
+class DurationEstimate:
     """Estimate the duration of requests, in seconds, as log-normal.
 
     `middle` and `variance` are the mean and variance of the logarithm.
 
-    >>> short = Duration(log(0.1), 0.25)
+    >>> short = DurationEstimate(log(0.1), 0.25)
     >>> round(short.find_quantile(1.28), 2), round(short.survive(0.19), 1)
     (0.19, 0.1)
     """
@@ -72,7 +72,7 @@
 
     def __init__(self) -> None:
         """Start without routes."""
-        self._routes: OrderedDict[str, Duration] = OrderedDict()
+        self._routes: OrderedDict[str, DurationEstimate] = OrderedDict()
 
     def is_quick(self, plan: RequestPlan, mean: float) -> bool:
         """Tell whether the plan's requests are short compared to the mean.
@@ -89,12 +89,12 @@
         found = self._routes.get(plan.route)
         return found is not None and found.count > ASSUMED_COUNT
 
-    def find(self, plan: RequestPlan) -> Duration:
+    def find(self, plan: RequestPlan) -> DurationEstimate:
         """Return the duration of the plan's route, assumed if not measured."""
         found = self._routes.get(plan.route)
         if found is None:
             middle = log(ASSUMED_AIM_SHARE * (plan.aim or ASSUMED_AIM))
-            found = Duration(middle, ASSUMED_SPREAD**2)
+            found = DurationEstimate(middle, ASSUMED_SPREAD**2)
             self._routes[plan.route] = found
             if len(self._routes) > ROUTES_KEPT:
                 self._routes.popitem(last=False)
--- a/hillfield/routing/explanations.py
+++ b/hillfield/routing/explanations.py
@@ -43,7 +43,7 @@
 
 def explain_service(service: ServiceState, now: float) -> RoutingExplanation:
     """Return the present state of the service's decisions."""
-    service.selector.adopt(service.board.rotation())
+    service.selector.adopt(service.detector.rotation())
     counters = service.counters
     return RoutingExplanation(
         service=service.policy.service,
@@ -60,7 +60,7 @@
         unknown=counters.unknown,
         strays=service.table.strays,
         loads=tuple(map(_explain_load, service.selector.loads.values())),
-        health=service.board.explain(now),
+        health=service.detector.explain(now),
         rooms=explain_capacities(service, now),
     )
 
--- a/hillfield/routing/hedging.py
+++ b/hillfield/routing/hedging.py
@@ -16,7 +16,7 @@
 from hillfield.routing.service import ServiceState
 
 SENT_PHASES: Final = frozenset(
-    (RequestPhase.SENT, RequestPhase.SENT_DOUBTFUL),
+    (RequestPhase.SENT, RequestPhase.SENT_UNCERTAIN),
 )
 # Standard deviations above the median after which an attempt is hedged: one in
 # twenty attempts at healthy targets takes longer and is hedged in vain.
--- a/hillfield/routing/loads.py
+++ b/hillfield/routing/loads.py
@@ -13,16 +13,16 @@
 # Seconds in which the weight of a target's latency falls to 1/e.
 LATENCY_MEMORY: Final = 10.0
 # Weight of the load that a target reports itself.
-HINT_WEIGHT: Final = 0.5
+REPORTED_LOAD_WEIGHT: Final = 0.5
 # Latency that a failure counts as, in mean latencies of the service.
 FAILURE_FACTOR: Final = 3.0
 # Bound of a target's latency relative to the service's, either way.
 LARGEST_FACTOR: Final = 8.0
 # Growth of a window for each answer, divided by the window.
-WIDENING: Final = 0.1
+WINDOW_GROWTH: Final = 0.1
 LARGEST_WINDOW: Final = 1000.0
 # Draws after which a target is taken whatever its share.
-SHARE_TRIES: Final = 4
+SHARE_DRAWS: Final = 4
 
 
 @dataclass(slots=True)
@@ -65,7 +65,7 @@
     `near` says that it is in this failure domain. `limit` bounds the requests
     in flight, `window` is a second bound that follows overload (additive
     increase, multiplicative decrease). `reported_load` is the target's own
-    report in slots, `pauses` counts pauses in a row, `position` is its index
+    report in slots, `consecutive_pauses` counts pauses in a row, `position` is its index
     among the free targets of its tier.
     """
 
@@ -79,7 +79,7 @@
     in_flight: int = 0
     latency: Latency = field(default_factory=Latency)
     paused: bool = False
-    pauses: int = 0
+    consecutive_pauses: int = 0
     position: int = -1
     tier: 'Tier | None' = None
 
@@ -91,7 +91,9 @@
         self.watched = candidate.watched
         slots = max(1, ceil(target.slots * self.share))
         self.limit = max(1, min(slots, allowance))
-        self.reported_load = HINT_WEIGHT * (target.load or 0) * self.limit
+        self.reported_load = (
+            REPORTED_LOAD_WEIGHT * (target.load or 0) * self.limit
+        )
 
     def leave_tier(self) -> None:
         """Remove the target from its tier."""
@@ -109,7 +111,7 @@
 
     def grow_window(self) -> None:
         """Grow the window by one in about ten windows of answers."""
-        wider = self.window + WIDENING / self.window
+        wider = self.window + WINDOW_GROWTH / self.window
         self.window = min(LARGEST_WINDOW, wider)
 
     def expected_cost(self, now: float, service: float) -> float:
@@ -158,7 +160,7 @@
     ) -> TargetLoad | None:
         """Draw a free target at random, weighted by share, in constant time."""
         found = None
-        for _ in range(SHARE_TRIES):
+        for _ in range(SHARE_DRAWS):
             found = self._pick_any(random, excluded)
             if found is None or random.random() < found.share:
                 return found
--- a/hillfield/routing/measurement.py
+++ b/hillfield/routing/measurement.py
@@ -20,7 +20,7 @@
     ANSWER,
     LOCALITY,
     SERVICE,
-    Bench,
+    Simulation,
     Setting,
     Tally,
     make_targets,
@@ -59,12 +59,12 @@
     targets are in rotation and a quarter of their slots stay busy.
     """
     policy = ServicePolicy(SERVICE)
-    board = HealthBoard(policy, LOCALITY)
-    board.adopt_targets(0, make_targets(targets, SLOTS))
-    service = open_service(policy, LOCALITY, board, Random(1))
+    detector = HealthBoard(policy, LOCALITY)
+    detector.adopt_targets(0, make_targets(targets, SLOTS))
+    service = open_service(policy, LOCALITY, detector, Random(1))
     plan = RequestPlan(SERVICE, 'r', 'account', idempotent=True, deadline=1)
-    for place in range(targets):
-        admit(service, 0, Arrival(f'busy{place}', plan, 1, replayable=True))
+    for number in range(targets):
+        admit(service, 0, Arrival(f'busy{number}', plan, 1, replayable=True))
     arrival = Arrival('measured', plan, 1, replayable=True)
     return median(_time_decisions(service, arrival) for _ in range(REPEATS))
 
@@ -72,8 +72,8 @@
 def measure_setting(setting: Setting, baseline: bool) -> Tally:
     """Run a setting with the usual dispatcher or with the baseline's."""
     if baseline:
-        return Bench(setting, BaselineBoard, BaselineDispatcher).run()
-    return Bench(setting, HealthBoard, Dispatcher).run()
+        return Simulation(setting, BaselineBoard, BaselineDispatcher).run()
+    return Simulation(setting, HealthBoard, Dispatcher).run()
 
 
 def measure_overload(
@@ -146,7 +146,7 @@
         if isinstance(decision, Send):
             attempt = service.table.attempts[decision.attempt]
             attempt.follow(AttemptTrigger.WRITE)
-            service.board.note_started(0, decision.target, decision.attempt)
+            service.detector.note_started(0, decision.target, decision.attempt)
             finish(service, 0, attempt, ANSWER)
         serve_queue(service, 0)
     return (perf_counter() - start) / DECISIONS * MICROSECONDS
--- a/hillfield/routing/pauses.py
+++ b/hillfield/routing/pauses.py
@@ -31,8 +31,10 @@
         if load.paused:
             return
         load.shrink_window()
-        seconds = max(FIRST_PAUSE, base) * 2**load.pauses
-        load.pauses = min(load.pauses + 1, PAUSES_COUNTED)
+        seconds = max(FIRST_PAUSE, base) * 2**load.consecutive_pauses
+        load.consecutive_pauses = min(
+            load.consecutive_pauses + 1, PAUSES_COUNTED
+        )
         # Jitter keeps nodes that were refused together from retrying together.
         jitter = (1 + self._random.random()) / 2
         load.paused = True
@@ -45,7 +47,7 @@
 
     def cancel(self, load: TargetLoad) -> None:
         """End a target's pause now and reset the length of the next one."""
-        load.pauses = 0
+        load.consecutive_pauses = 0
         kept = [entry for entry in self._ends if entry[2] is not load]
         if len(kept) < len(self._ends):
             self._ends = kept
--- a/hillfield/routing/phases.py
+++ b/hillfield/routing/phases.py
@@ -50,8 +50,8 @@
     ARRIVED = 'arrived'
     QUEUED = 'queued'
     SENT = 'sent'
-    SENT_DOUBTFUL = 'sent-doubtful'
-    QUEUED_DOUBTFUL = 'queued-doubtful'
+    SENT_UNCERTAIN = 'sent-doubtful'
+    QUEUED_UNCERTAIN = 'queued-doubtful'
     ENDED = 'ended'
 
 
--- a/hillfield/routing/placement.py
+++ b/hillfield/routing/placement.py
@@ -22,7 +22,7 @@
     trial = service.can_be_trial(record)
     if not service.capacities.has_reports(now):
         return service.choose(now, excluded, trial=trial)
-    service.selector.adopt(service.board.rotation())
+    service.selector.adopt(service.detector.rotation())
     if trial:
         found = _select_trial_target(service, now, excluded)
         if found is not None:
@@ -150,7 +150,7 @@
     record: RequestRecord,
 ) -> Target | None:
     """Return the target for a request that has waited at this node."""
-    service.selector.adopt(service.board.rotation())
+    service.selector.adopt(service.detector.rotation())
     return select_freed_target(service, now, ()) or select_target(
         service, now, record
     )
--- a/hillfield/routing/progress.py
+++ b/hillfield/routing/progress.py
@@ -11,7 +11,7 @@
 
     def __init__(self, service: ServiceState) -> None:
         """Record the attempts of this service."""
-        self.board = service.board
+        self.board = service.detector
         self._service = service
 
     def note_written(self, now: float, attempt: int) -> None:
--- a/hillfield/routing/queues.py
+++ b/hillfield/routing/queues.py
@@ -25,11 +25,11 @@
     def __init__(self) -> None:
         """Create an empty queue."""
         self._queues: OrderedDict[str, list[RequestRecord]] = OrderedDict()
-        self._length = 0
+        self._count = 0
 
     def __len__(self) -> int:
         """Return the number of waiting requests."""
-        return self._length
+        return self._count
 
     def __iter__(self) -> Iterator[RequestRecord]:
         """Yield the waiting requests; do not change the queue meanwhile."""
@@ -47,11 +47,11 @@
         """Add a request to the queue of its account."""
         account = record.arrival.plan.account
         requests = self._queues.setdefault(account, [])
-        place = bisect_right if record.queue_order.long else bisect_left
+        insert = bisect_right if record.queue_order.long else bisect_left
         requests.insert(
-            place(requests, record.queue_order, key=get_queue_order), record
+            insert(requests, record.queue_order, key=get_queue_order), record
         )
-        self._length += 1
+        self._count += 1
 
     def peek(self) -> RequestRecord:
         """Return the next request without removing it."""
@@ -61,7 +61,7 @@
         """Remove and return the first request of the next account."""
         account, requests = next(iter(self._queues.items()))
         record = requests.pop(0)
-        self._length -= 1
+        self._count -= 1
         if requests:
             self._queues.move_to_end(account)
         else:
@@ -75,7 +75,7 @@
         if requests is None or record not in requests:
             return
         requests.remove(record)
-        self._length -= 1
+        self._count -= 1
         if not requests:
             self._queues.pop(account)
 
--- a/hillfield/routing/records.py
+++ b/hillfield/routing/records.py
@@ -94,8 +94,8 @@
     def is_uncertain(self) -> bool:
         """Tell whether an attempt may have run without a usable answer."""
         return self.phase in {
-            RequestPhase.SENT_DOUBTFUL,
-            RequestPhase.QUEUED_DOUBTFUL,
+            RequestPhase.SENT_UNCERTAIN,
+            RequestPhase.QUEUED_UNCERTAIN,
         }
 
 
--- a/hillfield/routing/recovery.py
+++ b/hillfield/routing/recovery.py
@@ -53,7 +53,9 @@
     action = attempt.follow(classification.trigger)
     service.table.close(attempt)
     record_end(service, now, attempt, classification, observation)
-    service.board.observe(now, attempt.target.id, attempt.number, observation)
+    service.detector.observe(
+        now, attempt.target.id, attempt.number, observation
+    )
     if record.has_ended():
         return Done(record.arrival.request)
     if action in MAY_HAVE_RUN:
@@ -184,7 +186,7 @@
 ) -> tuple[TargetId, ...] | None:
     """Return the targets to exclude; None if no target would be left."""
     selector = service.selector
-    selector.adopt(service.board.rotation())
+    selector.adopt(service.detector.rotation())
     if selector.has_other(record.tried):
         return record.tried
     last = record.tried[-1:]
--- a/hillfield/routing/roomviews.py
+++ b/hillfield/routing/roomviews.py
@@ -30,7 +30,7 @@
     service: ServiceState, now: float
 ) -> tuple[RoomExplanation, ...]:
     """Return the capacity of each target whose gate has reported it."""
-    service.selector.adopt(service.board.rotation())
+    service.selector.adopt(service.detector.rotation())
     service.capacities.has_reports(now)
     known = (
         (load, service.capacities.find(target))
--- a/hillfield/routing/selection.py
+++ b/hillfield/routing/selection.py
@@ -133,7 +133,7 @@
         load.in_flight -= 1
         if seconds is not None and not failed:
             load.grow_window()
-            load.pauses = 0
+            load.consecutive_pauses = 0
         if load.tier is not None:
             load.tier.busy -= 1
             load.tier.update(load)
--- a/hillfield/routing/service.py
+++ b/hillfield/routing/service.py
@@ -61,7 +61,7 @@
     """
 
     policy: ServicePolicy
-    board: Board
+    detector: Board
     selector: Selector
     budget: RetryBudget
     table: Ledger = field(default_factory=Ledger)
@@ -80,7 +80,7 @@
 
     def expects_target(self, now: float) -> bool:
         """Tell whether targets are known or may become known soon."""
-        self.selector.adopt(self.board.rotation())
+        self.selector.adopt(self.detector.rotation())
         if self.selector.capacity:
             self.without_target_since = None
             return True
@@ -101,10 +101,10 @@
         A target whose gate declined recently is chosen last, except for a
         trial, which such a gate may be waiting for.
         """
-        self.selector.adopt(self.board.rotation())
-        held = () if trial else self.recent_declines.list_targets(now)
-        found = self.selector.choose(now, (*excluded, *held), near=near)
-        if found is None and held:
+        self.selector.adopt(self.detector.rotation())
+        declined = () if trial else self.recent_declines.list_targets(now)
+        found = self.selector.choose(now, (*excluded, *declined), near=near)
+        if found is None and declined:
             return self.selector.choose(now, excluded, near=near)
         return found
 
@@ -223,9 +223,9 @@
 def open_service(
     policy: ServicePolicy,
     locality: Locality,
-    board: Board,
+    detector: Board,
     random: Random,
 ) -> ServiceState:
     """Return the state of a service that has had no traffic."""
     selector = Selector(locality, random)
-    return ServiceState(policy, board, selector, RetryBudget(policy))
+    return ServiceState(policy, detector, selector, RetryBudget(policy))
--- a/hillfield/routing/table.py
+++ b/hillfield/routing/table.py
@@ -15,7 +15,7 @@
 
 # Seconds after which a lower number of nodes counts.
 FEWER_NODES_DELAY: Final = 7200.0
-BoardFactory = Callable[[ServicePolicy, Locality], Board]
+DetectorFactory = Callable[[ServicePolicy, Locality], Board]
 DispatcherFactory = Callable[
     [ServicePolicy, Locality, Board, Random],
     Dispatcher,
@@ -33,16 +33,16 @@
     def __init__(
         self,
         locality: Locality,
-        board_factory: BoardFactory,
+        detector_factory: DetectorFactory,
         random: Random,
         dispatcher_factory: DispatcherFactory = Dispatcher,
     ) -> None:
         """Create a table without services.
 
-        `board_factory` is `HealthBoard`, except in measurements.
+        `detector_factory` is `HealthBoard`, except in measurements.
         """
         self._locality = locality
-        self._board_factory = board_factory
+        self._detector_factory = detector_factory
         self._dispatcher_factory = dispatcher_factory
         self._random = random
         self._nodes = 1
@@ -60,11 +60,11 @@
         found = self._dispatchers.get(service)
         if found is None:
             policy = ServicePolicy(service)
-            board = self._board_factory(policy, self._locality)
+            detector = self._detector_factory(policy, self._locality)
             found = self._dispatcher_factory(
                 policy,
                 self._locality,
-                board,
+                detector,
                 self._random,
             )
             self._dispatchers[service] = found
@@ -136,8 +136,8 @@
             self._reported_services.pop(node)
         for service, pieces in by_service.items():
             if service in self._dispatchers:
-                board = self.for_service(service).board
-                board.adopt_evidence(now, node, domain, tuple(pieces))
+                detector = self.for_service(service).board
+                detector.adopt_evidence(now, node, domain, tuple(pieces))
 
     def tick(self, now: float) -> tuple[Occurrence, ...]:
         """Return the events since the last tick; call every 0.1 s.
--- a/hillfield/routing/tests/test_declining.py
+++ b/hillfield/routing/tests/test_declining.py
@@ -42,8 +42,8 @@
 
 
 def make_dispatcher(count=10):
-    board = PathBoard(POLICY, HERE)
-    dispatcher = Dispatcher(POLICY, HERE, board, Random(1))
+    detector = PathBoard(POLICY, HERE)
+    dispatcher = Dispatcher(POLICY, HERE, detector, Random(1))
     dispatcher.adopt_targets(0, make_targets(count))
     return dispatcher
 
--- a/hillfield/routing/tests/test_dispatcher.py
+++ b/hillfield/routing/tests/test_dispatcher.py
@@ -62,8 +62,8 @@
 
 def make_dispatcher(count: int, slots: int = 4, **more: Any) -> Any:
     policy = replace(POLICY, **more)
-    board = HealthBoard(policy, HERE)
-    dispatcher = Dispatcher(policy, HERE, board, Random(1))
+    detector = HealthBoard(policy, HERE)
+    dispatcher = Dispatcher(policy, HERE, detector, Random(1))
     targets = tuple(make_target(place, slots) for place in range(count))
     dispatcher.adopt_targets(0, targets)
     return dispatcher
--- a/hillfield/routing/tests/test_flapping_target.py
+++ b/hillfield/routing/tests/test_flapping_target.py
@@ -4,7 +4,7 @@
 from pytest import mark
 
 from hillfield.detection.board import HealthBoard
-from hillfield.routing.bench import ANSWER, SERVICE, Bench, Setting
+from hillfield.routing.bench import ANSWER, SERVICE, Simulation, Setting
 from hillfield.routing.dispatcher import Dispatcher
 from hillfield.model import ServicePolicy
 from hillfield.routing.requests import Answered
@@ -26,7 +26,7 @@
 WRONG = Answered(500, wrong='status')
 
 
-class FlappingBench(Bench):
+class FlappingSimulation(Simulation):
     """Let the first target fail for the first half of each second."""
 
     def _complete(self, now, fake, node, send):
@@ -43,12 +43,12 @@
     # Five 500 answers within 0.1 s used up the retry tokens of an account that
     # brings all of the traffic.
     setting = replace(SETTING, seed=seed)
-    tally = FlappingBench(setting, HealthBoard, Dispatcher).run()
+    tally = FlappingSimulation(setting, HealthBoard, Dispatcher).run()
     assert not tally.refused
 
 
 @mark.parametrize('seed', range(4))
 def test_a_service_that_fails_gets_few_retries(seed):
     broken = replace(SETTING, seed=seed, broken=True)
-    tally = Bench(broken, HealthBoard, Dispatcher).run()
+    tally = Simulation(broken, HealthBoard, Dispatcher).run()
     assert tally.sent - tally.arrived <= 2 * SETTING.policy.retry_burst
--- a/hillfield/routing/tests/test_fuzz.py
+++ b/hillfield/routing/tests/test_fuzz.py
@@ -142,7 +142,7 @@
     """Run a dispatcher and a detector through faults."""
 
     dispatcher_kind: Any = Dispatcher
-    board_kind: Any = HealthBoard
+    detector_kind: Any = HealthBoard
 
     def __init__(self) -> None:
         super().__init__()
@@ -150,8 +150,10 @@
         self.oracle = Oracle()
         self.fresh: set[TargetId] = set()
         self.announced: dict[int, Target] = {}
-        board = self.board_kind(POLICY, HERE)
-        self.dispatcher = self.dispatcher_kind(POLICY, HERE, board, Random(5))
+        detector = self.detector_kind(POLICY, HERE)
+        self.dispatcher = self.dispatcher_kind(
+            POLICY, HERE, detector, Random(5)
+        )
         for place in range(PLACES):
             self.announce(place, 1)
 
@@ -454,14 +456,14 @@
         assert not any(load.in_flight for load in explanation.loads)
 
 
-class FloorlessBoard(HealthBoard):
+class FloorlessDetector(HealthBoard):
     """Inject the fault that the floor is ignored."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
         super().__init__(replace(policy, floor=0), locality)
 
 
-class StaleBoard(HealthBoard):
+class StaleDetector(HealthBoard):
     """Inject the fault that an ejection extends to the next incarnation."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
@@ -540,8 +542,8 @@
 @mark.parametrize(
     'parts',
     [
-        {'board_kind': FloorlessBoard},
-        {'board_kind': StaleBoard},
+        {'detector_kind': FloorlessDetector},
+        {'detector_kind': StaleDetector},
         {'dispatcher_kind': MispairingDispatcher},
         {'dispatcher_kind': DrainlessDispatcher},
     ],
--- a/hillfield/routing/tests/test_hedging.py
+++ b/hillfield/routing/tests/test_hedging.py
@@ -27,7 +27,9 @@
 
 HERE = Locality('r', 'a', 'h')
 CALL = RequestPlan('s', 'call', '', True, 1.5, maximum_attempts=2, aim=0.4)
-ONCE = RequestPlan('s', 'post', '', False, 5, maximum_attempts=2, aim=1.5)
+NON_IDEMPOTENT = RequestPlan(
+    's', 'post', '', False, 5, maximum_attempts=2, aim=1.5
+)
 # Retries that the fleet may send in 10 s beyond a fifth of its requests.
 SLACK = 60
 RATIO = 0.2
@@ -37,8 +39,8 @@
 def make_dispatcher(targets=6, seed=1):
     policy = make_policy(RATIO, 0.7)
     plain = ServicePolicy('s')
-    board = PathBoard(plain, HERE)
-    dispatcher = Dispatcher(plain, HERE, board, Random(seed))
+    detector = PathBoard(plain, HERE)
+    dispatcher = Dispatcher(plain, HERE, detector, Random(seed))
     # As at a node, the service is created before its policy is known.
     dispatcher.adopt_policy(0, policy)
     dispatcher.adopt_targets(
@@ -91,7 +93,7 @@
 
 def test_non_idempotent_requests_and_those_without_aim_have_no_delay():
     dispatcher = make_dispatcher()
-    assert dispatcher.find_hedge_delay(ONCE) is None
+    assert dispatcher.find_hedge_delay(NON_IDEMPOTENT) is None
     plain = RequestPlan('s', 'r', '', True, 1.5)
     assert dispatcher.find_hedge_delay(plain) is None
 
--- a/hillfield/routing/tests/test_placement.py
+++ b/hillfield/routing/tests/test_placement.py
@@ -25,7 +25,7 @@
 SLOTS = 5
 NEAR = (0, 1)
 FAR = (2, 3)
-ONCE = RequestPlan('s', 'post', '', False, 5, maximum_attempts=2, aim=1.5)
+POST = RequestPlan('s', 'post', '', False, 5, maximum_attempts=2, aim=1.5)
 LOOKUP = RequestPlan('s', 'get', '', True, 4, maximum_attempts=2, aim=1.5)
 
 
@@ -38,8 +38,8 @@
 
     def __init__(self):
         policy = make_policy(0.2, 0.7)
-        board = PathBoard(policy, HERE)
-        self.dispatcher = Dispatcher(policy, HERE, board, Random(1))
+        detector = PathBoard(policy, HERE)
+        self.dispatcher = Dispatcher(policy, HERE, detector, Random(1))
         targets = tuple(
             Target(
                 identify(number),
@@ -69,18 +69,18 @@
             ),
         )
 
-    def place(self, name='r', plan=ONCE, now=0):
+    def place(self, name='r', plan=POST, now=0):
         arrival = Arrival(name, plan, now + plan.deadline, True)
         sent = self.dispatcher.admit(now, arrival)
         assert isinstance(sent, Send)
         return int(sent.target.address.ip.rpartition('.')[2])
 
-    def place_many(self, count=40, plan=ONCE):
+    def place_many(self, count=40, plan=POST):
         return {self.place(f'r{step}', plan) for step in range(count)}
 
     def learn(self, seconds):
         for step in range(20):
-            arrival = Arrival(f'l{step}', ONCE, 10, True)
+            arrival = Arrival(f'l{step}', POST, 10, True)
             sent: Any = self.dispatcher.admit(0, arrival)
             self.dispatcher.note_written(0, sent.attempt)
             self.dispatcher.finish(seconds, sent.attempt, Answered(200))
--- a/hillfield/routing/tests/test_ratelimits.py
+++ b/hillfield/routing/tests/test_ratelimits.py
@@ -36,8 +36,8 @@
 
     def __init__(self):
         policy = make_policy(0.2, 0.7)
-        board = PathBoard(policy, HERE)
-        self.dispatcher = Dispatcher(policy, HERE, board, Random(1))
+        detector = PathBoard(policy, HERE)
+        self.dispatcher = Dispatcher(policy, HERE, detector, Random(1))
         self.dispatcher.adopt_targets(
             0,
             tuple(Target(target, HERE, 4, 360) for target in TARGETS),
--- a/hillfield/routing/tests/test_selection.py
+++ b/hillfield/routing/tests/test_selection.py
@@ -79,8 +79,8 @@
 
 def test_a_suspected_target_is_decided_on_soon():
     policy = ServicePolicy('s')
-    board = HealthBoard(policy, HERE)
-    dispatcher = Dispatcher(policy, HERE, board, Random(1))
+    detector = HealthBoard(policy, HERE)
+    dispatcher = Dispatcher(policy, HERE, detector, Random(1))
     dispatcher.adopt_targets(0, TARGETS)
     open_attempts: list[tuple[float, int]] = []
     suspected = 0
@@ -92,15 +92,15 @@
         heappush(open_attempts, serve(dispatcher, now, step))
         if not step % 5:
             dispatcher.tick(now)
-        state = board.explain(now)[0].state
+        state = detector.explain(now)[0].state
         suspected += state == Health.SUSPECTED
     assert suspected / 50 < 1
 
 
 def becomes_watched(observation, seconds):
     """Tell whether a target that just became suspected is watched."""
-    board = HealthBoard(ServicePolicy('s'), HERE)
-    board.adopt_targets(0, TARGETS)
+    detector = HealthBoard(ServicePolicy('s'), HERE)
+    detector.adopt_targets(0, TARGETS)
     for number in range(60):
         target = TARGETS[number % 6].id
         start = number / 100
@@ -109,11 +109,11 @@
         if target == TARGETS[0].id:
             end = start + seconds
             seen = observation
-        board.note_started(start, target, number)
-        board.observe(end, target, number, seen)
-        board.tick(end)
-        if board.explain(end)[0].state == Health.SUSPECTED:
-            return board.rotation().candidates[0].watched
+        detector.note_started(start, target, number)
+        detector.observe(end, target, number, seen)
+        detector.tick(end)
+        if detector.explain(end)[0].state == Health.SUSPECTED:
+            return detector.rotation().candidates[0].watched
     raise AssertionError('never suspected')
 
 
--- a/hillfield/routing/tests/test_table.py
+++ b/hillfield/routing/tests/test_table.py
@@ -46,11 +46,11 @@
     )
 
 
-def make_table(board: Any = HealthBoard, kind: Any = Dispatcher) -> Any:
-    return DispatcherTable(HERE, board, Random(1), kind)
+def make_table(detector: Any = HealthBoard, kind: Any = Dispatcher) -> Any:
+    return DispatcherTable(HERE, detector, Random(1), kind)
 
 
-class ListeningBoard(HealthBoard):
+class RecordingDetector(HealthBoard):
     """Record the evidence received from other nodes."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
@@ -67,9 +67,9 @@
         self.received.append((now, node, evidence))
 
 
-@mark.parametrize(('board', 'dispatcher'), KINDS)
-def test_service_is_known_before_its_policy_and_targets(board, dispatcher):
-    table = make_table(board, dispatcher)
+@mark.parametrize(('detector', 'dispatcher'), KINDS)
+def test_service_is_known_before_its_policy_and_targets(detector, dispatcher):
+    table = make_table(detector, dispatcher)
     decision = table.for_service('claims').admit(0, make_arrival('a'))
     assert decision.failure.outcome is Outcome.NOT_RUN
     table.adopt_targets(1, 'claims', make_targets(2))
@@ -79,9 +79,9 @@
     assert table.services() == ('claims',)
 
 
-@mark.parametrize(('board', 'dispatcher'), KINDS)
-def test_non_idempotent_is_sent_once(board, dispatcher):
-    table = make_table(board, dispatcher)
+@mark.parametrize(('detector', 'dispatcher'), KINDS)
+def test_non_idempotent_is_sent_once(detector, dispatcher):
+    table = make_table(detector, dispatcher)
     table.adopt_targets(0, 'claims', make_targets(2))
     found = table.for_service('claims')
     send = found.admit(0, make_arrival('a', idempotent=False))
@@ -106,17 +106,17 @@
 
 
 def test_evidence_of_a_node_is_replaced_and_withdrawn():
-    table = make_table(ListeningBoard)
+    table = make_table(RecordingDetector)
     failing = make_targets(1)[0].id
     piece = Evidence(failing, Symptom.BROKEN, 50, 50, 1)
-    board = table.for_service('claims').board
+    detector = table.for_service('claims').board
     table.for_service('other')
     table.adopt_evidence(1, 'n1', 'b', (piece,))
     table.adopt_evidence(2, 'n2', 'b', ())
     table.adopt_evidence(3, 'n1', 'b', ())
     table.adopt_evidence(4, 'n1', 'b', ())
     received = [(1, 'n1', (piece,)), (3, 'n1', ())]
-    assert board.received == received
+    assert detector.received == received
     assert table.for_service('other').board.received == []
 
 
@@ -133,7 +133,7 @@
     assert table.explain(8000, 'claims').loads[0].limit == 8
 
 
-class CountingBoard(HealthBoard):
+class CountingDetector(HealthBoard):
     """Count ticks."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
@@ -147,16 +147,16 @@
 
 def test_quiet_services_are_ticked_once_a_second():
     """Ticking 260 idle services at each tick took 2% of a core."""
-    table = make_table(CountingBoard)
-    board = table.for_service('claims').board
+    table = make_table(CountingDetector)
+    detector = table.for_service('claims').board
     for number in range(1000):
         table.tick(number / 10)
-    assert 300 <= board.ticks <= 400
+    assert 300 <= detector.ticks <= 400
     table.for_service('claims')
-    before = board.ticks
+    before = detector.ticks
     for number in range(1000, 1010):
         table.tick(number / 10)
-    assert board.ticks == before + 10
+    assert detector.ticks == before + 10
 
 
 def test_evidence_creates_no_dispatcher():
@@ -170,7 +170,7 @@
 
 def test_a_service_with_a_long_request_is_not_quiet():
     """A request may be in flight for longer than a service counts as used."""
-    table = make_table(CountingBoard)
+    table = make_table(CountingDetector)
     table.adopt_targets(0, 'claims', make_targets(2))
     found = table.for_service('claims')
     send = found.admit(0, make_arrival('a'))
--- a/hillfield/routing/tests/test_waiting.py
+++ b/hillfield/routing/tests/test_waiting.py
@@ -33,8 +33,8 @@
 def overloaded():
     """Return a dispatcher of one target without free slots, and its requests."""
     plain = ServicePolicy('s')
-    board = PathBoard(plain, HERE)
-    made = Dispatcher(plain, HERE, board, Random(1))
+    detector = PathBoard(plain, HERE)
+    made = Dispatcher(plain, HERE, detector, Random(1))
     made.adopt_policy(0, make_policy(0.2, 0.7))
     identity = TargetId('s', Address('10.0.0.1', 80), 1)
     made.adopt_targets(0, (Target(identity, HERE, SLOTS, 300),))
