--- a/hillfield/routing/bench.py
+++ b/hillfield/routing/bench.py
@@ -151,12 +151,12 @@
     """Return targets spread evenly over three failure domains."""
     return tuple(
         Target(
-            TargetId(SERVICE, Address('127.0.0.1', FIRST_PORT + number), 1),
-            Locality('north', 'abc'[number % DOMAINS], f'h{number}'),
+            TargetId(SERVICE, Address('127.0.0.1', FIRST_PORT + index), 1),
+            Locality('north', 'abc'[index % DOMAINS], f'h{index}'),
             slots,
             CONNECTION_LIMIT,
         )
-        for number in range(number)
+        for index in range(number)
     )
 
 
--- a/hillfield/routing/queues.py
+++ b/hillfield/routing/queues.py
@@ -47,9 +47,9 @@
         """Add a request to the queue of its account."""
         account = record.arrival.plan.account
         requests = self._queues.setdefault(account, [])
-        insert = bisect_right if record.queue_order.long else bisect_left
+        bisect = bisect_right if record.queue_order.long else bisect_left
         requests.insert(
-            insert(requests, record.queue_order, key=get_queue_order), record
+            bisect(requests, record.queue_order, key=get_queue_order), record
         )
         self._count += 1
 
--- a/hillfield/routing/tests/test_waiting.py
+++ b/hillfield/routing/tests/test_waiting.py
@@ -63,7 +63,7 @@
 
 
 def test_a_hopeless_wait_ends_long_before_the_deadline(overloaded):
-    """Requests with an aim of 1.5 s were refused, unsent, after 5.2 s."""
+    """Requests with an aim of 1.5 s got a 503 after 5.2 s, without an attempt."""
     dispatcher = overloaded[0]
     send(dispatcher, 'long', OVERLOAD_START)
     over = OVERLOAD_START + STALE_AIM_FACTOR * LONG.aim
