--- a/hillfield/routing/tests/test_fuzz.py
+++ b/hillfield/routing/tests/test_fuzz.py
@@ -265,9 +265,9 @@
     @precondition(has_live)
     @rule(pick=picks)
     def write(self, pick: int) -> None:
-        self.note_written(self.pick_live(pick))
+        self.mark_written(self.pick_live(pick))
 
-    def note_written(self, truth: AttemptTruth) -> None:
+    def mark_written(self, truth: AttemptTruth) -> None:
         truth.written = True
         # From now on a stall can be detected, also before the attempt ends.
         self.fresh.discard(truth.send.target)
@@ -292,7 +292,7 @@
     def end(self, pick: int, fate: int, written: bool) -> None:
         truth = self.pick_live(pick)
         if written:
-            self.note_written(truth)
+            self.mark_written(truth)
         if not truth.written:
             self.finish(truth, UNWRITTEN[fate % len(UNWRITTEN)])
             return
@@ -350,7 +350,7 @@
     def settle(self, truth: AttemptTruth, failing: set[int]) -> None:
         if truth.ended:
             return
-        self.note_written(truth)
+        self.mark_written(truth)
         if truth.send.address.port - 7000 in failing:
             self.finish(truth, Broken('failing'))
         else:
@@ -447,7 +447,7 @@
             self.tick()
             for truth in self.oracle.live():
                 if not truth.ended:
-                    self.note_written(truth)
+                    self.mark_written(truth)
                     self.finish(truth, TimedOut())
         waiting = set(self.oracle.arrivals) - set(self.oracle.outcomes)
         assert waiting <= self.oracle.gone
