--- a/hillfield/holding/budgets.py
+++ b/hillfield/holding/budgets.py
@@ -15,8 +15,8 @@
 # Bytes of a node without requests: twice the memory that it uses in a fleet of
 # 300 hosts.
 OWN_BYTES: Final = 80_000_000
-# Share of the remaining memory for requests, and for answers. The kernel may
-# buffer as much for a connection as the process does.
+# Share of the remaining memory for requests, and the same for answers. The other
+# half is for the kernel, which may buffer as much for a connection as the process.
 REMAINDER_SHARE: Final = 0.25
 # Least share of the memory, so that a node with less than its own bytes still
 # serves a few requests at a time.
--- a/hillfield/routing/admission.py
+++ b/hillfield/routing/admission.py
@@ -14,7 +14,7 @@
     is_stale,
 )
 from hillfield.routing.phases import RequestTrigger
-from hillfield.routing.placement import select_target, select_waiting_target
+from hillfield.routing.placement import select_target, select_for_waiting
 from hillfield.routing.queues import is_late
 from hillfield.routing.records import RequestRecord
 from hillfield.routing.refusals import (
@@ -76,7 +76,7 @@
             )
         )
     while len(service.queue):
-        target = select_waiting_target(service, now, service.queue.peek())
+        target = select_for_waiting(service, now, service.queue.peek())
         if target is None:
             break
         record = service.queue.pop()
@@ -118,8 +118,8 @@
 ) -> Verdict:
     queue = service.queue
     own = queue.count_waiting(record.arrival.plan.account) + 1
-    # Accounts are served in turn, so that at most `own` requests of each account
-    # go before this one.
+    # `own` counts the account's waiting requests and this one. Accounts are served
+    # round robin, so that at most `own` requests of each account precede it.
     fair_position = own * (queue.count_accounts() + 1)
     position = 1
     if record.queue_order.long:
--- a/hillfield/routing/baseline.py
+++ b/hillfield/routing/baseline.py
@@ -61,7 +61,7 @@
         elif action is not AttemptAction.NOT_RUN:
             self._service.table.end(record, RequestTrigger.SETTLE)
             return Done(record.arrival.request)
-        if _may_repeat(now, record):
+        if _can_retry(now, record):
             return self._send(now, record)
         return refuse(self._service, record, describe_reading(classification))
 
@@ -99,7 +99,7 @@
         return table.start(now, record, candidate.target)
 
 
-def _may_repeat(now: float, record: RequestRecord) -> bool:
+def _can_retry(now: float, record: RequestRecord) -> bool:
     if len(record.tried) >= ATTEMPTS or now >= record.arrival.expires:
         return False
     return record.arrival.plan.idempotent and record.arrival.replayable
--- a/hillfield/routing/durations.py
+++ b/hillfield/routing/durations.py
@@ -34,37 +34,37 @@
 class DurationEstimate:
     """Estimate the duration of requests, in seconds, as log-normal.
 
-    `middle` and `variance` are the mean and variance of the logarithm.
+    `log_mean` and `log_variance` are the mean and variance of the logarithm.
 
     >>> short = DurationEstimate(log(0.1), 0.25)
     >>> round(short.find_quantile(1.28), 2), round(short.survive(0.19), 1)
     (0.19, 0.1)
     """
 
-    middle: float
-    variance: float
+    log_mean: float
+    log_variance: float
     count: int = ASSUMED_COUNT
 
     def note(self, seconds: float) -> None:
         """Add a measured duration."""
         self.count = min(MAXIMUM_COUNT, self.count + 1)
         gain = 1 / self.count
-        surplus = log(max(LEAST_SECONDS, seconds)) - self.middle
-        self.middle += gain * surplus
+        surplus = log(max(LEAST_SECONDS, seconds)) - self.log_mean
+        self.log_mean += gain * surplus
         kept = 1 - gain
-        self.variance = kept * (self.variance + gain * surplus**2)
+        self.log_variance = kept * (self.log_variance + gain * surplus**2)
 
     def find_quantile(self, deviations: float) -> float:
         """Return the duration that lies this far above the median."""
-        return exp(self.middle + deviations * self._spread())
+        return exp(self.log_mean + deviations * self._spread())
 
     def survive(self, seconds: float) -> float:
         """Return the share of requests that take longer than `seconds`."""
-        surplus = log(max(LEAST_SECONDS, seconds)) - self.middle
+        surplus = log(max(LEAST_SECONDS, seconds)) - self.log_mean
         return erfc(surplus / self._spread() / sqrt(2)) / 2
 
     def _spread(self) -> float:
-        return max(LEAST_SPREAD, sqrt(self.variance))
+        return max(LEAST_SPREAD, sqrt(self.log_variance))
 
 
 class Durations:
@@ -93,8 +93,8 @@
         """Return the duration of the plan's route, assumed if not measured."""
         found = self._routes.get(plan.route)
         if found is None:
-            middle = log(ASSUMED_AIM_SHARE * (plan.aim or ASSUMED_AIM))
-            found = DurationEstimate(middle, ASSUMED_SPREAD**2)
+            log_mean = log(ASSUMED_AIM_SHARE * (plan.aim or ASSUMED_AIM))
+            found = DurationEstimate(log_mean, ASSUMED_SPREAD**2)
             self._routes[plan.route] = found
             if len(self._routes) > ROUTES_KEPT:
                 self._routes.popitem(last=False)
--- a/hillfield/routing/hedging.py
+++ b/hillfield/routing/hedging.py
@@ -48,7 +48,7 @@
 ) -> Send | None:
     """Send an idempotent request to a second target too."""
     possible = (
-        _may_hedge(record)
+        _can_hedge(record)
         and now + service.estimate_retry(record) < record.arrival.expires
         and not service.count_waiting()
         and service.budget.hedges.can_take()
@@ -67,13 +67,13 @@
     record: RequestRecord,
 ) -> Send | None:
     """Replace an attempt that a gate declined while another one runs."""
-    if not (_may_hedge(record) and record.has_attempts_left()):
+    if not (_can_hedge(record) and record.has_attempts_left()):
         return None
     target = select_hedge_target(service, now, record)
     return None if target is None else service.send(now, record, target)
 
 
-def _may_hedge(record: RequestRecord) -> bool:
+def _can_hedge(record: RequestRecord) -> bool:
     plan = record.arrival.plan
     if record.phase not in SENT_PHASES or len(record.live) != 1:
         return False
--- a/hillfield/routing/placement.py
+++ b/hillfield/routing/placement.py
@@ -91,7 +91,7 @@
     """Return the target if no near one has a free slot; None: wait here.
 
     A request leaves the failure domain only if a slot is expected to be free
-    there: one that is declined has cost its bytes in vain.
+    elsewhere: a request that is declined there costs its bytes twice.
     """
     choose = service.selector.choose
     avoided = (*excluded, *withholding)
@@ -144,7 +144,7 @@
     return slot if capacity.rate is None else max(slot, capacity.wait)
 
 
-def select_waiting_target(
+def select_for_waiting(
     service: ServiceState,
     now: float,
     record: RequestRecord,
--- a/hillfield/routing/recovery.py
+++ b/hillfield/routing/recovery.py
@@ -100,12 +100,12 @@
     excluded = _find_excluded(service, record, classification)
     if excluded is None:
         return _give_up(service, record, classification, 'no other target')
-    hindrance = charge_retry(service, now, record, classification)
-    if hindrance:
-        return _give_up(service, record, classification, hindrance)
-    scarcity = find_rate_limit_cause(service, now, record)
-    if scarcity is not None:
-        return refuse(service, record, scarcity)
+    obstacle = charge_retry(service, now, record, classification)
+    if obstacle:
+        return _give_up(service, record, classification, obstacle)
+    limit_cause = find_rate_limit_cause(service, now, record)
+    if limit_cause is not None:
+        return refuse(service, record, limit_cause)
     service.counters.retries += 1
     if not _awaits_freed_slot(record, classification):
         target = choose_again(service, now, record, excluded)
@@ -155,9 +155,9 @@
     now: float,
     record: RequestRecord,
 ) -> Verdict | None:
-    scarcity = find_rate_limit_cause(service, now, record)
-    if scarcity is not None:
-        return refuse(service, record, scarcity)
+    limit_cause = find_rate_limit_cause(service, now, record)
+    if limit_cause is not None:
+        return refuse(service, record, limit_cause)
     late = now + service.estimate_retry(record) >= record.arrival.expires
     if late or is_stale(service, now, record):
         return refuse(service, record, describe_expiry())
@@ -167,10 +167,10 @@
     excluded = _find_excluded(service, record, classification)
     if excluded is None:
         return refuse(service, record, describe_reading(classification))
-    patience = FREED_SLOT_WAIT * service.selector.latency.mean
+    longest = FREED_SLOT_WAIT * service.selector.latency.mean
     if (
         _awaits_freed_slot(record, classification)
-        and now < record.queued_at + patience
+        and now < record.queued_at + longest
     ):
         target = service.selector.choose_freed(now, excluded)
     else:
--- a/hillfield/routing/selection.py
+++ b/hillfield/routing/selection.py
@@ -13,7 +13,7 @@
 from hillfield.routing.loads import FAILURE_FACTOR, Latency, TargetLoad, Tier
 from hillfield.routing.pauses import Pauses
 
-# Load of a nearer tier from which targets farther away are used as well.
+# Load from which a tier is no longer preferred to those farther away.
 SPILL_LOAD: Final = 0.75
 # Seconds for which a slot that this node has released counts as still free.
 FREED_SECONDS: Final = 0.005
--- a/hillfield/routing/service.py
+++ b/hillfield/routing/service.py
@@ -41,7 +41,7 @@
 
 @dataclass(slots=True)
 class Counters:
-    """Count requests by their outcome since the node started."""
+    """Count requests, retries, hedges and outcomes since the node started."""
 
     admitted: int = 0
     refused: int = 0
