--- a/hillfield/holding/budgets.py
+++ b/hillfield/holding/budgets.py
@@ -15,17 +15,19 @@
 # Bytes of a node without requests: twice the memory that it uses in a fleet of
 # 300 hosts.
 OWN_BYTES: Final = 80_000_000
-# Share of the remaining memory for requests, and the same for answers. The other
-# half is for the kernel, which may buffer as much for a connection as the process.
+# Share of the remaining memory for requests, and the same for answers. The
+# other half is for the kernel, which may buffer as much for a connection as
+# the process.
 REMAINDER_SHARE: Final = 0.25
 # Least share of the memory, so that a node with less than its own bytes still
 # serves a few requests at a time.
 MINIMUM_SHARE: Final = 0.05
-# Share of a process's memory on the host for bodies in flight to its target: the
-# target holds them as bytes and again as decoded objects, beside its own memory.
+# Share of a process's memory on the host for bodies in flight to its target:
+# the target holds them as bytes and again as decoded objects, beside its own
+# memory.
 TARGET_SHARE: Final = 0.25
-# Seconds after which a refused request may be retried: about the time in which a
-# body of 1 MB is transferred at 10 Mbit/s.
+# Seconds after which a refused request may be retried: about the time in which
+# a body of 1 MB is transferred at 10 Mbit/s.
 COME_BACK: Final = 1.0
 
 
--- a/hillfield/holding/pools.py
+++ b/hillfield/holding/pools.py
@@ -7,8 +7,9 @@
     """Count the bytes that accounts hold, and decide who may hold more.
 
     An account may hold at most as much as is free afterwards. A single account
-    thus gets half of the pool, two greedy ones a third each, and an account that
-    holds nothing always finds some bytes free, without a limit per account.
+    thus gets half of the pool, two greedy ones a third each, and an account
+    that holds nothing always finds some bytes free, without a limit per
+    account.
     """
 
     def __init__(self, limit: int) -> None:
@@ -22,7 +23,7 @@
         return self._held[account]
 
     def admits(self, account: str, size: int) -> bool:
-        """Tell whether an account may hold `size` bytes more.
+        """Return whether an account may hold `size` bytes more.
 
         While the pool is empty, any size is admitted; otherwise a request
         larger than half of the pool never would be.
--- a/hillfield/holding/reservations.py
+++ b/hillfield/holding/reservations.py
@@ -32,7 +32,7 @@
             self._body = size
 
     def pass_body(self) -> None:
-        """Release the node's bytes: the complete body was sent to the target."""
+        """Release the node's bytes: the body was sent to the target."""
         self._budget.requests.change(self._account, -self._kept)
         self._kept = 0
 
@@ -43,7 +43,7 @@
             self._budget.answers.change(self._account, size)
 
     def drop_answer(self, size: int) -> None:
-        """Release answer bytes that were sent to the caller or are not needed."""
+        """Release answer bytes that were sent or are not needed."""
         self.add_answer(-min(size, self._answer))
 
     def end_work(self) -> None:
--- a/hillfield/routing/admission.py
+++ b/hillfield/routing/admission.py
@@ -118,8 +118,9 @@
 ) -> Verdict:
     queue = service.queue
     own = queue.count_waiting(record.arrival.plan.account) + 1
-    # `own` counts the account's waiting requests and this one. Accounts are served
-    # round robin, so that at most `own` requests of each account precede it.
+    # `own` counts the account's waiting requests and this one. Accounts are
+    # served round robin, so that at most `own` requests of each account
+    # precede it.
     fair_position = own * (queue.count_accounts() + 1)
     position = 1
     if record.queue_order.long:
--- a/hillfield/routing/budgets.py
+++ b/hillfield/routing/budgets.py
@@ -45,7 +45,7 @@
         self.tokens = min(burst, self.tokens)
 
     def can_take(self, cost: float = 1) -> bool:
-        """Tell whether the tokens cover the cost."""
+        """Return whether the tokens cover the cost."""
         return self.tokens >= cost
 
     def take(self, cost: float = 1) -> bool:
@@ -171,7 +171,8 @@
     def consume_retry(self, account: str, shed: bool) -> bool:
         """Consume a retry from the service's and the account's budget."""
         cost = self._shed_cost if shed else 1
-        # If a retry after a shed answer costs as much as any, both share a bucket.
+        # If a retry after a shed answer costs as much as any, both share a
+        # bucket.
         service_bucket = self.sheds if cost < 1 else self.retries
         bucket = self._account_bucket(account)
         bucket.decay(self._now)
--- a/hillfield/routing/capacity.py
+++ b/hillfield/routing/capacity.py
@@ -94,7 +94,7 @@
             capacity.free += 1
 
     def has_reports(self, now: float) -> bool:
-        """Tell whether any gate has reported its capacity recently."""
+        """Return whether any gate has reported its capacity recently."""
         self._drop_expired(now)
         return bool(self._capacities)
 
--- a/hillfield/routing/dispatcher.py
+++ b/hillfield/routing/dispatcher.py
@@ -93,7 +93,7 @@
         self._service.cancel(request)
 
     def poll(self, now: float) -> tuple[Verdict, ...]:
-        """Return decisions for queued requests; call after finish and in ticks."""
+        """Return decisions on queued requests; call after finish, in ticks."""
         service = self._service
         if not (service.count_waiting() or service.pending_refusals):
             return ()
@@ -104,7 +104,7 @@
         return (*pending, *retried, *serve_queue(service, now))
 
     def next_due(self) -> float | None:
-        """Return when `poll` may send waiting requests; None: after events only.
+        """Return when `poll` may send waiting requests; None: after events.
 
         That is when the next pause of a target ends. Other waits end with
         `finish`, or are refused in ticks.
@@ -114,7 +114,7 @@
         return self._service.selector.pauses.next_end()
 
     def is_idle(self) -> bool:
-        """Tell whether no request is waiting or in flight."""
+        """Return whether no request is waiting or in flight."""
         table = self._service.table
         return not (table.requests or table.attempts)
 
--- a/hillfield/routing/durations.py
+++ b/hillfield/routing/durations.py
@@ -12,11 +12,11 @@
 from hillfield.model import RequestPlan
 
 ROUTES_KEPT: Final = 512
-# Assumptions about a route before its first measurement: the median duration as
-# a share of the latency objective (`aim`), the standard deviation of the
-# logarithm of the duration, and the number of answers that the assumptions count
-# as. Deployed routes take 0.2 to 0.5 of the objective, with a deviation of 0.3
-# to 0.8.
+# Assumptions about a route before its first measurement: the median duration
+# as a share of the latency objective (`aim`), the standard deviation of the
+# logarithm of the duration, and the number of answers that the assumptions
+# count as. Deployed routes take 0.2 to 0.5 of the objective, with a deviation
+# of 0.3 to 0.8.
 ASSUMED_AIM_SHARE: Final = 0.33
 ASSUMED_SPREAD: Final = 0.7
 ASSUMED_COUNT: Final = 2
@@ -75,7 +75,7 @@
         self._routes: OrderedDict[str, DurationEstimate] = OrderedDict()
 
     def is_quick(self, plan: RequestPlan, mean: float) -> bool:
-        """Tell whether the plan's requests are short compared to the mean.
+        """Return whether the plan's requests are short compared to the mean.
 
         Quick requests are served first: they occupy a slot for the shortest
         time, and running requests, which occupy slots too, wait for some.
@@ -85,7 +85,7 @@
         return self.find(plan).find_quantile(0) <= QUICK_SHARE * mean
 
     def knows(self, plan: RequestPlan) -> bool:
-        """Tell whether the plan's route has a measurement."""
+        """Return whether the plan's route has a measurement."""
         found = self._routes.get(plan.route)
         return found is not None and found.count > ASSUMED_COUNT
 
--- a/hillfield/routing/feedback.py
+++ b/hillfield/routing/feedback.py
@@ -88,7 +88,7 @@
     attempt: AttemptRecord,
     classification: Classification,
 ) -> bool:
-    """Tell whether the attempt's end should pause its target.
+    """Return whether the attempt's end should pause its target.
 
     A time-out pauses a target only if its gate reports no capacity.
     """
--- a/hillfield/routing/hedging.py
+++ b/hillfield/routing/hedging.py
@@ -21,9 +21,9 @@
 # Standard deviations above the median after which an attempt is hedged: one in
 # twenty attempts at healthy targets takes longer and is hedged in vain.
 HEDGE_DEVIATIONS: Final = 1.65
-# Bounds of the delay, as shares of the latency objective (`aim`). With a longer
-# delay, a second attempt of usual duration would be answered too late; a shorter
-# one gains nothing that the caller would notice.
+# Bounds of the delay, as shares of the latency objective (`aim`). With a
+# longer delay, a second attempt of usual duration would be answered too late;
+# a shorter one gains nothing that the caller would notice.
 LATEST_AIM_SHARE: Final = 0.55
 EARLIEST_AIM_SHARE: Final = 0.25
 
--- a/hillfield/routing/loads.py
+++ b/hillfield/routing/loads.py
@@ -65,8 +65,8 @@
     `near` says that it is in this failure domain. `limit` bounds the requests
     in flight, `window` is a second bound that follows overload (additive
     increase, multiplicative decrease). `reported_load` is the target's own
-    report in slots, `consecutive_pauses` counts pauses in a row, `position` is its index
-    among the free targets of its tier.
+    report in slots, `consecutive_pauses` counts pauses in a row, `position` is
+    its index among the free targets of its tier.
     """
 
     target: Target
@@ -101,7 +101,7 @@
         self.position = -1
 
     def is_free(self) -> bool:
-        """Tell whether this node may send the target one more request."""
+        """Return whether this node may send the target one more request."""
         slots = min(self.limit, self.window)
         return self.in_flight < slots and not self.paused
 
--- a/hillfield/routing/notices.py
+++ b/hillfield/routing/notices.py
@@ -49,7 +49,7 @@
             self._notices.popitem(last=False)
 
     def find(self, now: float, address: Address) -> LifeNotice | None:
-        """Return the notice of the target there; None if there is no recent one."""
+        """Return the notice of the target there; None if none is recent."""
         received = self._notices.get(address)
         if received is None:
             return None
--- a/hillfield/routing/placement.py
+++ b/hillfield/routing/placement.py
@@ -116,7 +116,7 @@
     *,
     near: bool,
 ) -> bool:
-    """Tell whether a wait at a gate still meets the latency objective."""
+    """Return whether a wait at a gate still meets the latency objective."""
     plan = record.arrival.plan
     wait = _estimate_slot_wait(service, near)
     if wait is None or not plan.aim:
@@ -161,7 +161,7 @@
     now: float,
     excluded: tuple[TargetId, ...],
 ) -> Target | None:
-    """Return the target that has just answered, unless gates report capacity."""
+    """Return the target that just answered; None if gates report capacity."""
     if service.capacities.has_reports(now):
         return None
     return service.selector.choose_freed(now, excluded)
--- a/hillfield/routing/ports.py
+++ b/hillfield/routing/ports.py
@@ -51,10 +51,10 @@
         """Drop a queued request whose caller has disconnected."""
 
     def poll(self, now: float) -> tuple[Verdict, ...]:
-        """Return decisions for queued requests; call after finish and in ticks."""
+        """Return decisions on queued requests; call after finish, in ticks."""
 
     def next_due(self) -> float | None:
-        """Return when `poll` may send queued requests; None: after events only."""
+        """Return when `poll` may send queued requests; None: after events."""
 
 
 class Dispatchers(Protocol):
--- a/hillfield/routing/queues.py
+++ b/hillfield/routing/queues.py
@@ -112,7 +112,7 @@
 
 
 def is_late(start: float, need: float, record: RequestRecord) -> bool:
-    """Tell whether a first attempt at `start` would miss the deadline.
+    """Return whether a first attempt at `start` would miss the deadline.
 
     A request sent too late uses a slot in vain, so the estimated duration
     counts up to nearly the whole deadline.
--- a/hillfield/routing/ratelimits.py
+++ b/hillfield/routing/ratelimits.py
@@ -16,8 +16,8 @@
 from hillfield.routing.capacity import ReportedCapacity
 from hillfield.routing.service import ServiceState
 
-# The golden ratio: the fractions of its multiples are spread evenly, however many
-# there are, so that callers refused together do not retry together.
+# The golden ratio: the fractions of its multiples are spread evenly, however
+# many there are, so that callers refused together do not retry together.
 SPREAD_RATIO: Final = 0.618
 # Seconds for which a gate's report of an exhausted limit counts: a gate reports
 # to some of the nodes that use its target only, and the others learn that it
@@ -72,6 +72,6 @@
 
 
 def _is_exhausted(capacity: ReportedCapacity) -> bool:
-    """Tell whether a target's limit, or its gate, admits no request now."""
+    """Return whether a target's limit, or its gate, admits no request now."""
     bound = capacity.rate is not None or capacity.withheld >= Held.USUAL
     return bound and capacity.free <= 0
--- a/hillfield/routing/records.py
+++ b/hillfield/routing/records.py
@@ -64,7 +64,7 @@
         return len(self.tried) - self.unsent_attempts
 
     def has_attempts_left(self) -> bool:
-        """Tell whether the plan allows one more attempt.
+        """Return whether the plan allows one more attempt.
 
         Attempts that reached no target have a separate bound: while many
         targets refuse connections, the first live one may be the fifth tried.
@@ -80,7 +80,7 @@
         return 0 if self.started is None else now - self.started
 
     def has_ended(self) -> bool:
-        """Tell whether the final decision on the request has been made."""
+        """Return whether the final decision on the request has been made."""
         return self.phase is RequestPhase.ENDED
 
     def bound_duration(self, seconds: float, share: float) -> float:
@@ -92,7 +92,7 @@
         return min(seconds, self.arrival.plan.deadline * share)
 
     def is_uncertain(self) -> bool:
-        """Tell whether an attempt may have run without a usable answer."""
+        """Return whether an attempt may have run without a usable answer."""
         return self.phase in {
             RequestPhase.SENT_UNCERTAIN,
             RequestPhase.QUEUED_UNCERTAIN,
@@ -164,7 +164,7 @@
         )
 
     def find(self, number: int) -> AttemptRecord | None:
-        """Return an attempt in flight; None, and a stray counted, if it ended."""
+        """Return an attempt in flight; if it has ended, count a stray."""
         attempt = self.attempts.get(number)
         if attempt is None:
             self.strays += 1
@@ -185,7 +185,7 @@
         record: RequestRecord,
         trigger: RequestTrigger,
     ) -> RequestAction | None:
-        """End and remove a request; its attempts in flight stay in the table."""
+        """End and remove a request; its attempts in flight stay."""
         action = record.follow(trigger)
         self.requests.pop(record.arrival.request, None)
         return action
--- a/hillfield/routing/recovery.py
+++ b/hillfield/routing/recovery.py
@@ -145,7 +145,7 @@
 def _awaits_freed_slot(
     record: RequestRecord, classification: Classification
 ) -> bool:
-    """Tell whether the next attempt should wait for a slot known to be free."""
+    """Return whether the next attempt should wait for a freed slot."""
     last = len(record.tried) >= record.arrival.plan.maximum_attempts - 1
     return last and classification.trigger is AttemptTrigger.SHED
 
--- a/hillfield/routing/refusals.py
+++ b/hillfield/routing/refusals.py
@@ -19,7 +19,7 @@
 
 UNAVAILABLE: Final[int] = HTTPStatus.SERVICE_UNAVAILABLE
 TOO_MANY: Final[int] = HTTPStatus.TOO_MANY_REQUESTS
-# Seconds after which callers are told to retry.
+# Seconds after which callers may retry.
 DEFAULT_RETRY_AFTER: Final = 1.0
 SHORTEST_RETRY_AFTER: Final = 0.05
 
--- a/hillfield/routing/reselection.py
+++ b/hillfield/routing/reselection.py
@@ -8,9 +8,9 @@
 from hillfield.routing.service import ServiceState
 
 # Gates of other failure domains that a request tries at once, and the seconds
-# after which it tries one more: if all targets are full, more gates decline too.
-# In an overload of 31 hosts, 8,300 of 9,500 requests sent to other failure
-# domains were declined, at 3.4 kB each.
+# after which it tries one more: if all targets are full, more gates decline
+# too. In an overload of 31 hosts, 8,300 of 9,500 requests sent to other
+# failure domains were declined, at 3.4 kB each.
 FAR_AT_ONCE: Final = 3
 FAR_INTERVAL: Final = 0.1
 
--- a/hillfield/routing/selection.py
+++ b/hillfield/routing/selection.py
@@ -63,7 +63,7 @@
         self.capacity = sum(tier.capacity for tier in self._tiers)
 
     def has_other(self, excluded: tuple[TargetId, ...]) -> bool:
-        """Tell whether the rotation has a target that is not excluded."""
+        """Return whether the rotation has a target that is not excluded."""
         return any(
             load.tier is not None and identity not in excluded
             for identity, load in self.loads.items()
--- a/hillfield/routing/service.py
+++ b/hillfield/routing/service.py
@@ -32,8 +32,9 @@
 # may be quicker than most attempts, so it is tried with less time left.
 RETRY_DEADLINE_SHARE: Final = 0.5
 
-# Standard deviations above the median by which nine in ten attempts are answered.
-# Requests sent with less time left end with an unknown outcome too often.
+# Standard deviations above the median by which nine in ten attempts are
+# answered. Requests sent with less time left end with an unknown outcome too
+# often.
 LIKELY_DEVIATIONS: Final = 1.28
 
 MILLISECOND_DIGITS: Final = 3
@@ -79,7 +80,7 @@
     without_target_since: float | None = None
 
     def expects_target(self, now: float) -> bool:
-        """Tell whether targets are known or may become known soon."""
+        """Return whether targets are known or may become known soon."""
         self.selector.adopt(self.detector.rotation())
         if self.selector.capacity:
             self.without_target_since = None
@@ -149,7 +150,7 @@
         )
 
     def cancel(self, request: str) -> None:
-        """Drop a waiting request, or a refusal that no poll has returned yet."""
+        """Drop a waiting request or a refusal that no poll has returned."""
         self.pending_refusals = [
             refusal
             for refusal in self.pending_refusals
@@ -203,7 +204,7 @@
         return self.selector.latency.bound()
 
     def can_be_trial(self, record: RequestRecord) -> bool:
-        """Tell whether the next attempt may be a trial of an unhealthy target.
+        """Return whether the next attempt may be a trial.
 
         A request that a gate has declined is no longer used for trials.
         """
@@ -212,7 +213,7 @@
         return self._can_retry(record, record.sent + 1)
 
     def _can_retry(self, record: RequestRecord, sent: int) -> bool:
-        """Tell whether another attempt may follow `sent` failed ones."""
+        """Return whether another attempt may follow `sent` failed ones."""
         plan = record.arrival.plan
         if not (plan.idempotent and record.arrival.replayable):
             return False
--- a/hillfield/routing/subsets.py
+++ b/hillfield/routing/subsets.py
@@ -11,10 +11,11 @@
 LARGEST_SUBSET: Final = 32
 SMALLEST_SUBSET: Final = 2
 LOCAL_TARGETS: Final = 2
-# Share of a subset taken from the own failure domain, if it has so many targets.
-# Of 16 targets with 3 slots each, a third unhealthy and one lost leave 30 slots
-# for the one or two requests that a node has in flight. Without this share, 35
-# near targets among 178 gave a node six, and its other requests left the domain.
+# Share of a subset taken from the own failure domain, if it has so many
+# targets. Of 16 targets with 3 slots each, a third unhealthy and one lost
+# leave 30 slots for the one or two requests that a node has in flight. Without
+# this share, 35 near targets among 178 gave a node six, and its other requests
+# left the domain.
 LOCAL_SHARE: Final = 0.5
 # The nodes of a target are binomially distributed; 3 standard deviations are a
 # sufficient margin.
--- a/hillfield/routing/tests/test_flapping_target.py
+++ b/hillfield/routing/tests/test_flapping_target.py
@@ -9,8 +9,8 @@
 from hillfield.model import ServicePolicy
 from hillfield.routing.requests import Answered
 
-# 2 nodes, 6 targets of 4 slots, and one account that sends all of the 150 reads a
-# second.
+# 2 nodes, 6 targets of 4 slots, and one account that sends all of the 150
+# reads a second.
 SETTING = Setting(
     nodes=2,
     targets=6,
--- a/hillfield/routing/tests/test_fuzz.py
+++ b/hillfield/routing/tests/test_fuzz.py
@@ -114,7 +114,7 @@
         return [one for one in attempts if one.send.request == request]
 
     def may_run(self, request: str) -> bool:
-        """Tell whether the request ran or can still run anywhere."""
+        """Return whether the request ran or can still run anywhere."""
         return bool(self.runs[request]) or any(
             truth.written and not truth.refused for truth in self.of(request)
         )
--- a/hillfield/routing/tests/test_hedging.py
+++ b/hillfield/routing/tests/test_hedging.py
@@ -115,7 +115,7 @@
 
 
 def test_a_declined_hedge_is_sent_to_another_target():
-    """A declined hedge was dropped, and its caller waited for the hung target."""
+    """A declined hedge was dropped; the caller waited for the hung target."""
     dispatcher = make_dispatcher()
     first = send(dispatcher, 'r')
     second = dispatcher.hedge(0.3, 'r')
--- a/hillfield/routing/tests/test_selection.py
+++ b/hillfield/routing/tests/test_selection.py
@@ -98,7 +98,7 @@
 
 
 def becomes_watched(observation, seconds):
-    """Tell whether a target that just became suspected is watched."""
+    """Return whether a target that just became suspected is watched."""
     detector = HealthBoard(ServicePolicy('s'), HERE)
     detector.adopt_targets(0, TARGETS)
     for number in range(60):
--- a/hillfield/routing/tests/test_waiting.py
+++ b/hillfield/routing/tests/test_waiting.py
@@ -31,7 +31,7 @@
 
 @fixture
 def overloaded():
-    """Return a dispatcher of one target without free slots, and its requests."""
+    """Return a dispatcher without free slots, and its running requests."""
     plain = ServicePolicy('s')
     detector = PathBoard(plain, HERE)
     made = Dispatcher(plain, HERE, detector, Random(1))
@@ -63,7 +63,7 @@
 
 
 def test_a_hopeless_wait_ends_long_before_the_deadline(overloaded):
-    """Requests with an aim of 1.5 s got a 503 after 5.2 s, without an attempt."""
+    """Requests with an aim of 1.5 s got a 503 after 5.2 s, unsent."""
     dispatcher = overloaded[0]
     send(dispatcher, 'long', OVERLOAD_START)
     over = OVERLOAD_START + STALE_AIM_FACTOR * LONG.aim
--- a/hillfield/routing/urgency.py
+++ b/hillfield/routing/urgency.py
@@ -15,9 +15,9 @@
 # Seconds for which a request first looks for a healthy target: within about
 # this time one of 4 slots is free again, and a quarantined target is tested.
 QUARANTINED_SECONDS: Final = 0.25
-# Seconds after which it accepts any target. A request that must not be repeated
-# is lost at a target that breaks most requests, so this is the last resort, but a
-# late answer is still worth something.
+# Seconds after which it accepts any target. A request that must not be
+# repeated is lost at a target that breaks most requests, so this is the last
+# resort, but a late answer is still worth something.
 ANY_SECONDS: Final = 1.0
 
 
--- a/hillfield/routing/waiting.py
+++ b/hillfield/routing/waiting.py
@@ -8,13 +8,13 @@
 from hillfield.routing.service import ServiceState
 from hillfield.routing.queueorder import QueueOrder
 
-# Multiple of the latency objective (`aim`) within which an answer is still worth
-# a wait: more than 1, so that requests wait through a short overload.
+# Multiple of the latency objective (`aim`) within which an answer is still
+# worth a wait: more than 1, so that requests wait through a short overload.
 STALE_AIM_FACTOR: Final = 1.5
 
 
 def is_quick(service: ServiceState, record: RequestRecord) -> bool:
-    """Tell whether a request is short compared to the service's mean."""
+    """Return whether a request is short compared to the service's mean."""
     mean = service.selector.latency.mean
     return service.durations.is_quick(record.arrival.plan, mean)
 
@@ -34,7 +34,7 @@
 
 
 def precedes_waiting(service: ServiceState, order: QueueOrder) -> bool:
-    """Tell whether a new request may take a slot before all waiting ones."""
+    """Return whether a new request may take a slot before all waiting ones."""
     if not (service.count_waiting() and order.long):
         return True
     return all(order < record.queue_order for record in _list_waiting(service))
@@ -47,7 +47,7 @@
 
 
 def is_stale(service: ServiceState, now: float, record: RequestRecord) -> bool:
-    """Tell whether a waiting request should be refused as too late.
+    """Return whether a waiting request should be refused as too late.
 
     Under overload, a request that can't be answered within a multiple of its
     latency objective would take the slot of one that can, or wait in vain until
