--- a/hillfield/routing/tests/test_declining.py
+++ b/hillfield/routing/tests/test_declining.py
@@ -74,11 +74,11 @@
 def test_a_request_tries_each_gate_once_before_any_twice():
     dispatcher = make_dispatcher(4)
     decision = dispatcher.admit(0, arrive('r'))
-    asked = []
+    tried = []
     while isinstance(decision, Send):
-        asked.append(decision.target)
+        tried.append(decision.target)
         decision = decline(dispatcher, decision)
-    assert len(set(asked)) == len(asked) == 4
+    assert len(set(tried)) == len(tried) == 4
     assert isinstance(decision, Wait)
 
 
@@ -108,9 +108,9 @@
     dispatcher = make_dispatcher()
     without_retry = dispatcher.admit(0, arrive('a', idempotent=True))
     assert not without_retry.trial
-    rich = ServicePolicy('s', retry_burst=5)
-    dispatcher.adopt_policy(0, rich)
-    dispatcher.board.adopt_policy(0, rich)
+    with_retries = ServicePolicy('s', retry_burst=5)
+    dispatcher.adopt_policy(0, with_retries)
+    dispatcher.board.adopt_policy(0, with_retries)
     for number in range(20):
         sent = dispatcher.admit(0, arrive(f'x{number}'))
         dispatcher.note_written(0, sent.attempt)
@@ -167,47 +167,47 @@
 def make_quarantined(count):
     """Return a dispatcher and the target whose gate declines lastingly."""
     dispatcher = make_dispatcher(count)
-    rich = ServicePolicy('s', retry_burst=5)
-    dispatcher.adopt_policy(0, rich)
-    dispatcher.board.adopt_policy(0, rich)
+    with_retries = ServicePolicy('s', retry_burst=5)
+    dispatcher.adopt_policy(0, with_retries)
+    dispatcher.board.adopt_policy(0, with_retries)
     first = dispatcher.admit(0, arrive('first'))
     answer(dispatcher, decline_lastingly(dispatcher, first), 0)
     return dispatcher, first.target
 
 
-def list_asked(dispatcher, start, idempotent=False, attempts=2):
+def list_tried(dispatcher, start, idempotent=False, attempts=2):
     """Return the targets of 40 requests that are sent within 0.4 s."""
-    asked = set()
+    tried = set()
     for number in range(40):
         now = start + number / 100
         arrival = arrive(f'r{number}', idempotent, now)
         plan = replace(arrival.plan, maximum_attempts=attempts)
         sent = dispatcher.admit(now, replace(arrival, plan=plan))
-        asked.add(sent.target)
+        tried.add(sent.target)
         answer(dispatcher, sent, now)
-    return asked
+    return tried
 
 
 def test_a_gate_that_withholds_work_is_avoided_at_first():
     """Gates of quarantined targets declined 4,600 of 6,250 requests."""
     dispatcher, quarantined = make_quarantined(4)
-    assert quarantined not in list_asked(dispatcher, 0.5)
+    assert quarantined not in list_tried(dispatcher, 0.5)
 
 
 def test_a_gate_that_withheld_work_is_tried_again_later():
     dispatcher, quarantined = make_quarantined(2)
-    assert quarantined in list_asked(dispatcher, DECLINE_LIFETIME)
+    assert quarantined in list_tried(dispatcher, DECLINE_LIFETIME)
 
 
 def test_trials_are_sent_to_a_gate_that_withholds_work():
     dispatcher, quarantined = make_quarantined(2)
-    assert quarantined in list_asked(dispatcher, 0.5, idempotent=True)
+    assert quarantined in list_tried(dispatcher, 0.5, idempotent=True)
 
 
 def test_a_last_attempt_is_not_a_trial():
     dispatcher, quarantined = make_quarantined(2)
-    asked = list_asked(dispatcher, 0.5, idempotent=True, attempts=1)
-    assert quarantined not in asked
+    tried = list_tried(dispatcher, 0.5, idempotent=True, attempts=1)
+    assert quarantined not in tried
 
 
 def test_gates_that_withhold_work_are_tried_if_there_are_no_others():
@@ -229,11 +229,11 @@
     dispatcher = make_dispatcher()
     dispatcher.adopt_targets(0, far)
     decision = dispatcher.admit(0, arrive('r'))
-    asked = 0
+    tried = 0
     while isinstance(decision, Send):
-        asked += 1
+        tried += 1
         decision = decline(dispatcher, decision)
-    assert asked == FAR_AT_ONCE
+    assert tried == FAR_AT_ONCE
     assert isinstance(decision, Wait)
     assert not dispatcher.poll(FAR_INTERVAL / 2)
     assert isinstance(dispatcher.poll(1.1 * FAR_INTERVAL)[0], Send)
--- a/hillfield/routing/tests/test_departures.py
+++ b/hillfield/routing/tests/test_departures.py
@@ -5,7 +5,7 @@
 # Seconds between departures, and of one pause of the node.
 USUAL = 0.008
 PAUSE = 0.3
-DEADPOSITION = 1.0
+DEADLINE = 1.0
 POSITION = 35
 
 
@@ -23,14 +23,14 @@
     now = depart(intervals, 40, 5)
     now += PAUSE
     intervals.record_departure(now, waiting=True)
-    assert intervals.estimate_wait(now, POSITION, USUAL) < DEADPOSITION
+    assert intervals.estimate_wait(now, POSITION, USUAL) < DEADLINE
 
 
 def test_the_first_interval_alone_refuses_no_request():
     intervals = DepartureIntervals()
     intervals.record_departure(0, waiting=True)
     intervals.record_departure(PAUSE, waiting=True)
-    assert intervals.estimate_wait(PAUSE, POSITION, USUAL) < DEADPOSITION
+    assert intervals.estimate_wait(PAUSE, POSITION, USUAL) < DEADLINE
 
 
 def test_a_queue_that_has_slowed_down_is_estimated_as_such():
--- a/hillfield/routing/tests/test_waiting.py
+++ b/hillfield/routing/tests/test_waiting.py
@@ -34,16 +34,16 @@
     """Return a dispatcher without free slots, and its running requests."""
     plain = ServicePolicy('s')
     detector = PathBoard(plain, HERE)
-    made = Dispatcher(plain, HERE, detector, Random(1))
-    made.adopt_policy(0, make_policy(0.2, 0.7))
+    dispatcher = Dispatcher(plain, HERE, detector, Random(1))
+    dispatcher.adopt_policy(0, make_policy(0.2, 0.7))
     identity = TargetId('s', Address('10.0.0.1', 80), 1)
-    made.adopt_targets(0, (Target(identity, HERE, SLOTS, 300),))
+    dispatcher.adopt_targets(0, (Target(identity, HERE, SLOTS, 300),))
     for step in range(20):
         plan, seconds = (CALL, 0.1) if step % 2 else (LONG, 0.5)
-        sent: Any = send(made, f'l{step}', step, plan)
-        made.note_written(step, sent.attempt)
-        made.finish(step + seconds, sent.attempt, Answered(200))
-    return made, [send(made, name, OVERLOAD_START) for name in 'xy']
+        sent: Any = send(dispatcher, f'l{step}', step, plan)
+        dispatcher.note_written(step, sent.attempt)
+        dispatcher.finish(step + seconds, sent.attempt, Answered(200))
+    return dispatcher, [send(dispatcher, name, OVERLOAD_START) for name in 'xy']
 
 
 def send(dispatcher, name, now, plan=LONG):
@@ -52,7 +52,7 @@
 
 
 def test_quick_requests_go_before_long_ones_that_came_first(overloaded):
-    """Calls refused behind long requests failed the requests that made them."""
+    """Calls refused behind long requests failed the requests that dispatcher them."""
     dispatcher, running = overloaded
     assert isinstance(send(dispatcher, 'long', OVERLOAD_START), Wait)
     assert isinstance(send(dispatcher, 'call', OVERLOAD_START, CALL), Wait)
