--- a/hillfield/routing/budgets.py
+++ b/hillfield/routing/budgets.py
@@ -61,10 +61,10 @@
 
     A target that fails for 0.5 s fails all requests sent to it in that time, so
     the retries allowed must grow with the traffic. The bound is what was earned
-    in about the last `saved` seconds, at least `least`; it shrinks again while
+    in about the last `saving_seconds`, at least `minimum`; it shrinks again while
     no request is answered.
 
-    >>> bucket = EarnedBucket(least=2, saved=1)
+    >>> bucket = EarnedBucket(minimum=2, saving_seconds=1)
     >>> for step in range(30):
     ...     bucket.earn(step / 10, 1)
     >>> bucket.tokens > 5
@@ -76,27 +76,27 @@
 
     __slots__ = ('_earned', '_minimum', '_saving_seconds', '_updated')
 
-    def __init__(self, least: float, saved: float) -> None:
+    def __init__(self, minimum: float, saving_seconds: float) -> None:
         """Start full and with nothing earned."""
-        super().__init__(least, least)
-        self._minimum = least
-        self._saving_seconds = saved
+        super().__init__(minimum, minimum)
+        self._minimum = minimum
+        self._saving_seconds = saving_seconds
         self._earned = float()
         self._updated = float()
 
-    def copy(self, least: float) -> 'EarnedBucket':
+    def copy(self, minimum: float) -> 'EarnedBucket':
         """Return a full bucket that has earned as much."""
-        copied = EarnedBucket(least, self._saving_seconds)
+        copied = EarnedBucket(minimum, self._saving_seconds)
         copied._earned = self._earned
         copied._updated = self._updated
         copied._update_burst()
         copied.tokens = copied.burst
         return copied
 
-    def set_bounds(self, least: float, saved: float) -> None:
+    def set_bounds(self, minimum: float, saving_seconds: float) -> None:
         """Replace the least bound and the seconds of saving."""
-        self._minimum = least
-        self._saving_seconds = saved
+        self._minimum = minimum
+        self._saving_seconds = saving_seconds
         self._update_burst()
 
     def earn(self, now: float, tokens: float) -> None:
