--- a/hillfield/routing/budgets.py
+++ b/hillfield/routing/budgets.py
@@ -59,10 +59,10 @@
 class EarnedBucket(Bucket):
     """Hold tokens up to a bound that grows with what is earned.
 
-    A target that fails for 0.5 s fails all requests sent to it in that time, so
-    the retries allowed must grow with the traffic. The bound is what was earned
-    in about the last `saving_seconds`, at least `minimum`; it shrinks again while
-    no request is answered.
+    A target that fails for 0.5 s fails all requests sent to it in that time,
+    so the retries allowed must grow with the traffic. The bound is what was
+    earned in about the last `saving_seconds`, at least `minimum`; it shrinks
+    again while no request is answered.
 
     >>> bucket = EarnedBucket(minimum=2, saving_seconds=1)
     >>> for step in range(30):
