--- a/hillfield/holding/__init__.py
+++ b/hillfield/holding/__init__.py
@@ -8,8 +8,8 @@
     make_limits,
     share_with_callers,
 )
-from hillfield.holding.reservations import Holder
 from hillfield.holding.pools import BytePool
+from hillfield.holding.reservations import Holder
 
 __all__ = (
     'COME_BACK',
--- a/hillfield/routing/admission.py
+++ b/hillfield/routing/admission.py
@@ -7,15 +7,10 @@
 
 from hillfield.events import EventCode
 from hillfield.model import Step
-from hillfield.routing.waiting import (
-    count_ahead,
-    compute_queue_order,
-    precedes_waiting,
-    is_stale,
-)
 from hillfield.routing.phases import RequestTrigger
-from hillfield.routing.placement import select_target, select_for_waiting
+from hillfield.routing.placement import select_for_waiting, select_target
 from hillfield.routing.queues import is_late
+from hillfield.routing.ratelimits import find_rate_limit_cause
 from hillfield.routing.records import RequestRecord
 from hillfield.routing.refusals import (
     TOO_MANY,
@@ -24,8 +19,13 @@
     refuse,
 )
 from hillfield.routing.requests import Arrival, Refuse, Verdict, Wait
-from hillfield.routing.ratelimits import find_rate_limit_cause
 from hillfield.routing.service import ServiceState
+from hillfield.routing.waiting import (
+    compute_queue_order,
+    count_ahead,
+    is_stale,
+    precedes_waiting,
+)
 
 # Least seconds between two searches of the queue for requests to refuse.
 SCAN_INTERVAL: Final = 0.01
--- a/hillfield/routing/dispatcher.py
+++ b/hillfield/routing/dispatcher.py
@@ -8,6 +8,7 @@
 from hillfield.model import Locality, ServicePolicy, Target
 from hillfield.routing.admission import admit, serve_queue
 from hillfield.routing.explanations import RoutingExplanation, explain_service
+from hillfield.routing.feedback import apply_report
 from hillfield.routing.hedging import Hedging
 from hillfield.routing.recovery import finish, serve_retries
 from hillfield.routing.requests import (
@@ -17,8 +18,7 @@
     Verdict,
 )
 from hillfield.routing.service import open_service
-from hillfield.routing.feedback import apply_report
-from hillfield.routing.subsets import compute_connection_share, choose_subset
+from hillfield.routing.subsets import choose_subset, compute_connection_share
 
 
 class Dispatcher(Hedging):
--- a/hillfield/routing/hedging.py
+++ b/hillfield/routing/hedging.py
@@ -8,9 +8,9 @@
 from typing import Final
 
 from hillfield.model import RequestPlan
-from hillfield.routing.progress import AttemptProgress
-from hillfield.routing.placement import select_hedge_target
 from hillfield.routing.phases import RequestPhase
+from hillfield.routing.placement import select_hedge_target
+from hillfield.routing.progress import AttemptProgress
 from hillfield.routing.records import RequestRecord
 from hillfield.routing.requests import Send
 from hillfield.routing.service import ServiceState
--- a/hillfield/routing/measurement.py
+++ b/hillfield/routing/measurement.py
@@ -20,8 +20,8 @@
     ANSWER,
     LOCALITY,
     SERVICE,
-    Simulation,
     Setting,
+    Simulation,
     Tally,
     make_targets,
 )
--- a/hillfield/routing/placement.py
+++ b/hillfield/routing/placement.py
@@ -7,8 +7,8 @@
 """
 
 from hillfield.model import Target, TargetId
-from hillfield.routing.records import RequestRecord
 from hillfield.routing.capacity import ReportedCapacity
+from hillfield.routing.records import RequestRecord
 from hillfield.routing.service import ServiceState
 
 
--- a/hillfield/routing/queues.py
+++ b/hillfield/routing/queues.py
@@ -6,8 +6,8 @@
 from itertools import chain
 from typing import Final
 
-from hillfield.routing.records import RequestRecord
 from hillfield.routing.queueorder import QueueOrder
+from hillfield.routing.records import RequestRecord
 
 # Largest share of the deadline that a first attempt is assumed to take.
 FIRST_DEADLINE_SHARE: Final = 0.9
--- a/hillfield/routing/ratelimits.py
+++ b/hillfield/routing/ratelimits.py
@@ -11,9 +11,9 @@
 from hillfield.events import EventCode
 from hillfield.loadreports.reports import Held
 from hillfield.model import Step
+from hillfield.routing.capacity import ReportedCapacity
 from hillfield.routing.records import RequestRecord
 from hillfield.routing.refusals import Cause
-from hillfield.routing.capacity import ReportedCapacity
 from hillfield.routing.service import ServiceState
 
 # The golden ratio: the fractions of its multiples are spread evenly, however
--- a/hillfield/routing/records.py
+++ b/hillfield/routing/records.py
@@ -15,9 +15,9 @@
     RequestPhase,
     RequestTrigger,
 )
+from hillfield.routing.queueorder import QueueOrder
 from hillfield.routing.readings import Classification
 from hillfield.routing.requests import Arrival, Send
-from hillfield.routing.queueorder import QueueOrder
 
 MAXIMUM_UNSENT: Final = 6
 # Larger than the bound above: a decline costs a few milliseconds and puts no
--- a/hillfield/routing/recovery.py
+++ b/hillfield/routing/recovery.py
@@ -5,16 +5,17 @@
 from msgspec.structs import replace
 
 from hillfield.model import TargetId
+from hillfield.routing.feedback import record_end
 from hillfield.routing.hedging import replace_declined
-from hillfield.routing.placement import select_freed_target
-from hillfield.routing.waiting import is_stale
 from hillfield.routing.phases import (
     AttemptAction,
     AttemptPhase,
     AttemptTrigger,
     RequestTrigger,
 )
+from hillfield.routing.placement import select_freed_target
 from hillfield.routing.queues import get_queue_order
+from hillfield.routing.ratelimits import find_rate_limit_cause
 from hillfield.routing.readings import Classification, read_observation
 from hillfield.routing.records import AttemptRecord, RequestRecord
 from hillfield.routing.refusals import (
@@ -31,9 +32,8 @@
     Wait,
 )
 from hillfield.routing.reselection import choose_again
-from hillfield.routing.ratelimits import find_rate_limit_cause
 from hillfield.routing.service import ServiceState
-from hillfield.routing.feedback import record_end
+from hillfield.routing.waiting import is_stale
 
 # Mean latencies for which the last attempt after a shed waits for a freed slot.
 FREED_SLOT_WAIT: Final = 2.0
--- a/hillfield/routing/roomviews.py
+++ b/hillfield/routing/roomviews.py
@@ -2,8 +2,8 @@
 
 from msgspec import Struct
 
-from hillfield.routing.loads import TargetLoad
 from hillfield.routing.capacity import ReportedCapacity
+from hillfield.routing.loads import TargetLoad
 from hillfield.routing.service import ServiceState
 
 
--- a/hillfield/routing/selection.py
+++ b/hillfield/routing/selection.py
@@ -8,8 +8,8 @@
 from random import Random
 from typing import Final
 
-from hillfield.model import Locality, Target, TargetId, TargetState
 from hillfield.detection.rotation import Candidate, Rotation
+from hillfield.model import Locality, Target, TargetId, TargetState
 from hillfield.routing.loads import FAILURE_FACTOR, Latency, TargetLoad, Tier
 from hillfield.routing.pauses import Pauses
 
--- a/hillfield/routing/service.py
+++ b/hillfield/routing/service.py
@@ -16,15 +16,15 @@
     TargetId,
 )
 from hillfield.routing.budgets import RateLimiter, RetryBudget
-from hillfield.routing.durations import Durations
+from hillfield.routing.capacity import CapacityTable
 from hillfield.routing.departures import DepartureIntervals
+from hillfield.routing.durations import Durations
+from hillfield.routing.notices import ReceivedNotices
 from hillfield.routing.phases import RequestTrigger
 from hillfield.routing.queues import FairQueue
-from hillfield.routing.records import Ledger, RequestRecord
 from hillfield.routing.recentdeclines import RecentDeclines
-from hillfield.routing.notices import ReceivedNotices
+from hillfield.routing.records import Ledger, RequestRecord
 from hillfield.routing.requests import Refuse, Send
-from hillfield.routing.capacity import CapacityTable
 from hillfield.routing.selection import Selector
 from hillfield.routing.urgency import compute_urgency
 
--- a/hillfield/routing/tests/test_declining.py
+++ b/hillfield/routing/tests/test_declining.py
@@ -20,9 +20,9 @@
 from hillfield.routing.requests import Answered, Arrival, Refuse, Send, Wait
 from hillfield.routing.reselection import FAR_AT_ONCE, FAR_INTERVAL
 from hillfield.routing.urgency import (
+    ANY_SECONDS,
     QUARANTINED_DECLINES,
     QUARANTINED_SECONDS,
-    ANY_SECONDS,
 )
 
 HERE = Locality('r', 'a', 'h')
--- a/hillfield/routing/tests/test_flapping_target.py
+++ b/hillfield/routing/tests/test_flapping_target.py
@@ -4,9 +4,9 @@
 from pytest import mark
 
 from hillfield.detection.board import HealthBoard
-from hillfield.routing.bench import ANSWER, SERVICE, Simulation, Setting
-from hillfield.routing.dispatcher import Dispatcher
 from hillfield.model import ServicePolicy
+from hillfield.routing.bench import ANSWER, SERVICE, Setting, Simulation
+from hillfield.routing.dispatcher import Dispatcher
 from hillfield.routing.requests import Answered
 
 # 2 nodes, 6 targets of 4 slots, and one account that sends all of the 150
--- a/hillfield/routing/tests/test_hedging.py
+++ b/hillfield/routing/tests/test_hedging.py
@@ -16,7 +16,7 @@
 )
 from hillfield.routing import Dispatcher
 from hillfield.routing.declining import Declined
-from hillfield.routing.hedging import LATEST_AIM_SHARE, EARLIEST_AIM_SHARE
+from hillfield.routing.hedging import EARLIEST_AIM_SHARE, LATEST_AIM_SHARE
 from hillfield.routing.requests import (
     Answered,
     Arrival,
--- a/hillfield/routing/tests/test_placement.py
+++ b/hillfield/routing/tests/test_placement.py
@@ -17,8 +17,8 @@
     TargetId,
 )
 from hillfield.routing import Dispatcher
-from hillfield.routing.requests import Answered, Arrival, Send
 from hillfield.routing.capacity import REPORT_LIFETIME, CapacityTable
+from hillfield.routing.requests import Answered, Arrival, Send
 
 HERE = Locality('r', 'a', 'h')
 THERE = Locality('r', 'b', 'h')
--- a/hillfield/routing/tests/test_subsets.py
+++ b/hillfield/routing/tests/test_subsets.py
@@ -11,8 +11,8 @@
 from hillfield.model import Locality, TargetState
 from hillfield.routing.bench import CONNECTION_LIMIT, make_targets
 from hillfield.routing.subsets import (
-    compute_connection_share,
     choose_subset,
+    compute_connection_share,
     compute_subset_size,
 )
 
--- a/hillfield/routing/tests/test_table.py
+++ b/hillfield/routing/tests/test_table.py
@@ -18,11 +18,11 @@
     Target,
     TargetId,
 )
-from hillfield.routing.baseline import BaselineDispatcher
 from hillfield.routing import (
     Dispatcher,
     DispatcherTable,
 )
+from hillfield.routing.baseline import BaselineDispatcher
 from hillfield.routing.requests import Answered, Arrival, Broken, Done, Wait
 
 HERE = Locality('north', 'a', 'h1')
--- a/hillfield/routing/tests/test_waiting.py
+++ b/hillfield/routing/tests/test_waiting.py
@@ -18,8 +18,8 @@
     TargetId,
 )
 from hillfield.routing import Dispatcher
-from hillfield.routing.waiting import STALE_AIM_FACTOR
 from hillfield.routing.requests import Answered, Arrival, Refuse, Send, Wait
+from hillfield.routing.waiting import STALE_AIM_FACTOR
 
 HERE = Locality('r', 'a', 'h')
 LONG = RequestPlan('s', 'post', '', False, 5, maximum_attempts=2, aim=1.5)
--- a/hillfield/routing/waiting.py
+++ b/hillfield/routing/waiting.py
@@ -4,9 +4,9 @@
 from itertools import chain
 from typing import Final
 
+from hillfield.routing.queueorder import QueueOrder
 from hillfield.routing.records import RequestRecord
 from hillfield.routing.service import ServiceState
-from hillfield.routing.queueorder import QueueOrder
 
 # Multiple of the latency objective (`aim`) within which an answer is still
 # worth a wait: more than 1, so that requests wait through a short overload.
