--- a/hillfield/holding/__init__.py
+++ b/hillfield/holding/__init__.py
@@ -1,4 +1,4 @@
-"""Bytes that a node holds of requests and answers, within a budget."""
+"""Memory budget for the bytes of requests and answers that a node holds."""
 
 from hillfield.holding.budgets import (
     COME_BACK,
@@ -8,8 +8,8 @@
     make_limits,
     share_with_callers,
 )
-from hillfield.holding.holders import Holder
 from hillfield.holding.pools import BytePool
+from hillfield.holding.reservations import Holder
 
 __all__ = (
     'COME_BACK',
--- a/hillfield/routing/bench.py
+++ b/hillfield/routing/bench.py
@@ -1,8 +1,8 @@
-"""Fake targets and callers in passed-in time, for measurements.
+"""Simulation of targets and callers in simulated time, for measurements.
 
-Targets run `slots` requests at once. One that is full sheds, or lets
-requests wait in line if it doesn't know how to shed. Work that its caller
-has given up on is still done, as with targets that ignore cancellation.
+Targets run `slots` requests at once. A full target sheds, or queues requests if
+it can't shed. Requests that their caller has cancelled are still run, as by
+targets that ignore cancellation.
 """
 
 from collections import deque
@@ -47,14 +47,14 @@
 TICKS: Final = 10
 LOCALITY: Final = Locality('north', 'a', 'h0')
 GREEDY: Final = -1
-# As targets write it in whole seconds.
+# Retry-After has whole seconds.
 SHED: Final = Shed(retry_after=1)
 BREAK: Final = Broken('reset')
 ANSWER: Final = Answered(HTTPStatus.OK)
 
 
 class Burst(Struct, frozen=True):
-    """Say when more arrives: so many a second, from a moment, for so long."""
+    """Define additional requests: `rate` a second for some `seconds`."""
 
     rate: float
     since: float
@@ -62,12 +62,12 @@
 
 
 class Setting(Struct, frozen=True):
-    """Say what is measured; times are in seconds.
+    """Define a simulation; times are in seconds.
 
-    `rate` is in requests a second over all nodes, `burst` what comes on top,
-    `slow` the factor of the first target from `slow_since` on, `broken`
-    whether all targets break every request, `greedy` the share of requests
-    that one account sends on top.
+    `rate` is in requests a second over all nodes, `burst` adds to it. `slow`
+    multiplies the service time of the first target from `slow_since` on,
+    `broken` says whether all targets break every request, `greedy` is the share
+    of requests that one more account sends.
     """
 
     nodes: int = 1
@@ -89,11 +89,11 @@
     policy: ServicePolicy = ServicePolicy(SERVICE)
 
     def capacity(self) -> float:
-        """Return the requests a second that the targets can answer."""
+        """Return the requests a second that the targets can serve."""
         return self.targets * self.slots / self.service_time
 
     def find_rate(self, now: float) -> float:
-        """Return the requests a second that arrive at a moment.
+        """Return the requests a second that arrive at this time.
 
         >>> Setting(rate=60, burst=Burst(400, 0.5, 1)).find_rate(1.0)
         460
@@ -106,7 +106,7 @@
 
 @dataclass(slots=True)
 class Tally:
-    """Count what callers got; `latencies` in seconds of good answers."""
+    """Count outcomes; `latencies` are those of answers, in seconds."""
 
     arrived: int = 0
     sent: int = 0
@@ -119,7 +119,7 @@
     greedy_answered: int = 0
 
     def percentile(self, share: float) -> float:
-        """Return the latency that this share of answers doesn't exceed."""
+        """Return the latency that this share of answers does not exceed."""
         ordered = sorted(self.latencies)
         if not ordered:
             return 0
@@ -129,7 +129,7 @@
 
 @dataclass(order=True, slots=True)
 class Event:
-    """Hold an action to be done at a time, in order of entry."""
+    """Hold an action to run at a time; equal times run in order of entry."""
 
     when: float
     order: int
@@ -138,38 +138,38 @@
 
 
 @dataclass(slots=True)
-class FakeTarget:
-    """Hold a fake target's line and busy slots."""
+class SimulatedTarget:
+    """Hold a simulated target's queue and busy slots."""
 
     target: Target
     factor: float
     busy: int = 0
-    line: deque[tuple[int, Send]] = field(default_factory=deque)
+    queue: deque[tuple[int, Send]] = field(default_factory=deque)
 
 
 def make_targets(number: int, slots: int) -> tuple[Target, ...]:
     """Return targets spread evenly over three failure domains."""
     return tuple(
         Target(
-            TargetId(SERVICE, Address('127.0.0.1', FIRST_PORT + place), 1),
-            Locality('north', 'abc'[place % DOMAINS], f'h{place}'),
+            TargetId(SERVICE, Address('127.0.0.1', FIRST_PORT + index), 1),
+            Locality('north', 'abc'[index % DOMAINS], f'h{index}'),
             slots,
             CONNECTION_LIMIT,
         )
-        for place in range(number)
+        for index in range(number)
     )
 
 
-class Bench:
-    """Run one setting against one kind of dispatcher and of board."""
+class Simulation:
+    """Simulate one setting with one kind of dispatcher and detector."""
 
     def __init__(
         self,
         setting: Setting,
-        board_kind: Any,
+        detector_kind: Any,
         dispatcher_kind: Any,
     ) -> None:
-        """Prepare the targets, the nodes and the arrivals."""
+        """Create the targets, the nodes and an empty tally."""
         self.tally = Tally()
         self._setting = setting
         self._random = Random(setting.seed)
@@ -179,24 +179,26 @@
         self._live: dict[tuple[int, int], Send] = {}
         targets = make_targets(setting.targets, setting.slots)
         self._targets = {
-            target.id: FakeTarget(target, factor=1) for target in targets
+            target.id: SimulatedTarget(target, factor=1) for target in targets
         }
         self._targets[targets[0].id].factor = setting.slow
         self._nodes = tuple(
-            _open_node(node, setting, board_kind, dispatcher_kind)
+            _open_node(node, setting, detector_kind, dispatcher_kind)
             for node in range(setting.nodes)
         )
 
     def run(self) -> Tally:
         """Run to the end and return the tally."""
-        self._at(0, self._arrive, ())
-        self._at(0, self._tick, (1,))
+        self._schedule(0, self._arrive, ())
+        self._schedule(0, self._tick, (1,))
         while self._events:
             event = heappop(self._events)
             event.action(event.when, *event.details)
         return self.tally
 
-    def _at(self, when: float, action: Any, details: tuple[Any, ...]) -> None:
+    def _schedule(
+        self, when: float, action: Any, details: tuple[Any, ...]
+    ) -> None:
         heappush(self._events, Event(when, next(self._order), action, details))
 
     def _arrive(self, now: float) -> None:
@@ -204,11 +206,11 @@
         if now > setting.seconds:
             return
         gap = self._random.expovariate(setting.find_rate(now))
-        self._at(now + gap, self._arrive, ())
+        self._schedule(now + gap, self._arrive, ())
         node = self._random.randrange(setting.nodes)
         arrival = self._make_arrival(now)
         self._arrivals[arrival.request] = arrival
-        self._take(now, node, self._nodes[node].admit(now, arrival))
+        self._apply_decision(now, node, self._nodes[node].admit(now, arrival))
 
     def _make_arrival(self, now: float) -> Arrival:
         setting = self._setting
@@ -227,38 +229,38 @@
         name = str(self.tally.arrived)
         return Arrival(name, plan, now + setting.deadline, replayable=True)
 
-    def _take(self, now: float, node: int, verdict: Verdict) -> None:
-        if isinstance(verdict, Refuse):
+    def _apply_decision(self, now: float, node: int, decision: Verdict) -> None:
+        if isinstance(decision, Refuse):
             self.tally.refused += 1
-            self.tally.unknown += verdict.failure.outcome == 'unknown'
-        if not isinstance(verdict, Send):
+            self.tally.unknown += decision.failure.outcome == 'unknown'
+        if not isinstance(decision, Send):
             return
         self.tally.sent += 1
         counts = self.tally.by_target
-        counts[verdict.target] = counts.get(verdict.target, 0) + 1
-        self._live[node, verdict.attempt] = verdict
-        self._nodes[node].note_written(now, verdict.attempt)
-        arrival = self._arrivals[verdict.request]
-        ending = (node, verdict.attempt, TimedOut())
-        self._at(arrival.expires, self._end, ending)
-        self._serve(now, node, verdict)
+        counts[decision.target] = counts.get(decision.target, 0) + 1
+        self._live[node, decision.attempt] = decision
+        self._nodes[node].note_written(now, decision.attempt)
+        arrival = self._arrivals[decision.request]
+        details = (node, decision.attempt, TimedOut())
+        self._schedule(arrival.expires, self._end, details)
+        self._serve(now, node, decision)
 
     def _serve(self, now: float, node: int, send: Send) -> None:
         fake = self._targets[send.target]
         refusal: Observation = BREAK if self._setting.broken else SHED
         full = fake.busy >= self._setting.slots
         if full and not self._setting.sheds:
-            fake.line.append((node, send))
+            fake.queue.append((node, send))
         elif full or self._setting.broken:
-            ending = (node, send.attempt, refusal)
-            self._at(now + SHED_SECONDS, self._end, ending)
+            details = (node, send.attempt, refusal)
+            self._schedule(now + SHED_SECONDS, self._end, details)
         else:
             self._start(now, fake, node, send)
 
     def _start(
         self,
         now: float,
-        fake: FakeTarget,
+        fake: SimulatedTarget,
         node: int,
         send: Send,
     ) -> None:
@@ -266,18 +268,18 @@
         factor = fake.factor if now >= self._setting.slow_since else 1
         mean = self._setting.service_time * factor
         seconds = mean * (0.5 + self._random.random())
-        self._at(now + seconds, self._complete, (fake, node, send))
+        self._schedule(now + seconds, self._complete, (fake, node, send))
 
     def _complete(
         self,
         now: float,
-        fake: FakeTarget,
+        fake: SimulatedTarget,
         node: int,
         send: Send,
     ) -> None:
         fake.busy -= 1
-        if fake.line:
-            self._start(now, fake, *fake.line.popleft())
+        if fake.queue:
+            self._start(now, fake, *fake.queue.popleft())
         self._end(now, node, send.attempt, ANSWER)
 
     def _end(
@@ -298,36 +300,38 @@
             greedy = arrival.plan.account == str(GREEDY)
             self.tally.greedy_answered += int(greedy)
             self.tally.latencies.append(now - arrived)
-        self._take(now, node, dispatcher.finish(now, attempt, observation))
+        self._apply_decision(
+            now, node, dispatcher.finish(now, attempt, observation)
+        )
         self._poll(now, node)
 
     def _poll(self, now: float, node: int) -> None:
-        for verdict in self._nodes[node].poll(now):
-            self._take(now, node, verdict)
+        for decision in self._nodes[node].poll(now):
+            self._apply_decision(now, node, decision)
 
-    def _tick(self, now: float, turn: int) -> None:
+    def _tick(self, now: float, number: int) -> None:
         for node, dispatcher in enumerate(self._nodes):
             self._poll(now, node)
-            if turn % TICKS == 0:
+            if number % TICKS == 0:
                 dispatcher.tick(now)
         if now < self._setting.seconds + self._setting.deadline:
-            self._at(now + POLL_SECONDS, self._tick, (turn + 1,))
+            self._schedule(now + POLL_SECONDS, self._tick, (number + 1,))
 
 
 def _open_node(
     node: int,
     setting: Setting,
-    board_kind: Any,
+    detector_kind: Any,
     dispatcher_kind: Any,
 ) -> Dispatcher:
     domain = 'abc'[node % DOMAINS]
     locality = replace(LOCALITY, failure_domain=domain, host=f'h{node}')
-    board: Board = board_kind(setting.policy, locality)
+    detector: Board = detector_kind(setting.policy, locality)
     random = Random(setting.seed + node)
     dispatcher: Dispatcher = dispatcher_kind(
         setting.policy,
         locality,
-        board,
+        detector,
         random,
     )
     targets = make_targets(setting.targets, setting.slots)
--- a/hillfield/routing/explanations.py
+++ b/hillfield/routing/explanations.py
@@ -1,15 +1,15 @@
-"""What operators are shown of the decisions of one service."""
+"""State of one service's decisions as shown to operators."""
 
 from msgspec import Struct
 
 from hillfield.detection.explanations import TargetExplanation
 from hillfield.routing.loads import TargetLoad
-from hillfield.routing.roomviews import RoomExplanation, explain_rooms
-from hillfield.routing.service import Service
+from hillfield.routing.roomviews import RoomExplanation, explain_capacities
+from hillfield.routing.service import ServiceState
 
 
 class LoadExplanation(Struct, frozen=True):
-    """Show one target's load from this node; `latency` in seconds."""
+    """Show one target's load from this node; `latency` is in seconds."""
 
     target: str
     in_rotation: bool
@@ -21,7 +21,7 @@
 
 
 class RoutingExplanation(Struct, frozen=True):
-    """Show a service's queue, budgets, counts and targets at this node."""
+    """Show a service's queue, budgets, counters and targets at this node."""
 
     service: str
     queued: int
@@ -41,27 +41,27 @@
     rooms: tuple[RoomExplanation, ...] = ()
 
 
-def explain_service(service: Service, now: float) -> RoutingExplanation:
+def explain_service(service: ServiceState, now: float) -> RoutingExplanation:
     """Return the present state of the service's decisions."""
-    service.selector.adopt(service.board.rotation())
+    service.selector.adopt(service.detector.rotation())
     counters = service.counters
     return RoutingExplanation(
         service=service.policy.service,
-        queued=service.waiting(),
+        queued=service.count_waiting(),
         slots=service.selector.capacity,
         latency=service.selector.latency.mean,
         retry_tokens=service.budget.retries.tokens,
         hedge_tokens=service.budget.hedges.tokens,
         admitted=counters.admitted,
-        sent=service.ledger.sends,
+        sent=service.table.sends,
         retries=counters.retries,
         hedges=counters.hedges,
         refused=counters.refused,
         unknown=counters.unknown,
-        strays=service.ledger.strays,
+        strays=service.table.strays,
         loads=tuple(map(_explain_load, service.selector.loads.values())),
-        health=service.board.explain(now),
-        rooms=explain_rooms(service, now),
+        health=service.detector.explain(now),
+        rooms=explain_capacities(service, now),
     )
 
 
--- a/hillfield/routing/measurement.py
+++ b/hillfield/routing/measurement.py
@@ -1,6 +1,6 @@
-"""Measure the decisions against the plain baseline.
+"""Compare the routing decisions with the baseline.
 
-`python -m hillfield.routing.measurement` prints one line a measurement.
+`python -m hillfield.routing.measurement` prints one line per measurement.
 """
 
 from random import Random
@@ -20,8 +20,8 @@
     ANSWER,
     LOCALITY,
     SERVICE,
-    Bench,
     Setting,
+    Simulation,
     Tally,
     make_targets,
 )
@@ -29,7 +29,7 @@
 from hillfield.routing.phases import AttemptTrigger
 from hillfield.routing.recovery import finish
 from hillfield.routing.requests import Arrival, Send
-from hillfield.routing.service import Service, open_service
+from hillfield.routing.service import ServiceState, open_service
 
 SIZES: Final = (30, 100, 300, 1000)
 SLOTS: Final = 4
@@ -53,34 +53,34 @@
 
 
 def measure_choice(targets: int) -> float:
-    """Return microseconds for one request's decisions, median of repeats.
+    """Return the median microseconds that one request's decisions take.
 
-    One request is admitted, written, answered and polled for; all targets
-    are in rotation, and a quarter of their slots stay busy.
+    Each request is admitted, written, answered and polled for, while all
+    targets are in rotation and a quarter of their slots stay busy.
     """
     policy = ServicePolicy(SERVICE)
-    board = HealthBoard(policy, LOCALITY)
-    board.adopt_targets(0, make_targets(targets, SLOTS))
-    service = open_service(policy, LOCALITY, board, Random(1))
+    detector = HealthBoard(policy, LOCALITY)
+    detector.adopt_targets(0, make_targets(targets, SLOTS))
+    service = open_service(policy, LOCALITY, detector, Random(1))
     plan = RequestPlan(SERVICE, 'r', 'account', idempotent=True, deadline=1)
-    for place in range(targets):
-        admit(service, 0, Arrival(f'busy{place}', plan, 1, replayable=True))
+    for number in range(targets):
+        admit(service, 0, Arrival(f'busy{number}', plan, 1, replayable=True))
     arrival = Arrival('measured', plan, 1, replayable=True)
     return median(_time_decisions(service, arrival) for _ in range(REPEATS))
 
 
 def measure_setting(setting: Setting, baseline: bool) -> Tally:
-    """Run a setting with the decisions as they stand or the baseline's."""
+    """Run a setting with the usual dispatcher or with the baseline's."""
     if baseline:
-        return Bench(setting, BaselineBoard, BaselineDispatcher).run()
-    return Bench(setting, HealthBoard, Dispatcher).run()
+        return Simulation(setting, BaselineBoard, BaselineDispatcher).run()
+    return Simulation(setting, HealthBoard, Dispatcher).run()
 
 
 def measure_overload(
     setting: Setting,
     baseline: bool,
 ) -> tuple[float, ...]:
-    """Return answers a second per capacity, at each multiple of it."""
+    """Return goodput per capacity at each load, in multiples of capacity."""
     return tuple(
         measure_setting(
             replace(setting, rate=load * setting.capacity()),
@@ -92,7 +92,7 @@
 
 
 def print_report() -> None:
-    """Measure everything and print it."""
+    """Run and print all measurements."""
     for size in SIZES:
         micro = measure_choice(size)
         stdout.write(f'decision targets={size} microseconds={micro:.1f}\n')
@@ -139,14 +139,14 @@
         )
 
 
-def _time_decisions(service: Service, arrival: Arrival) -> float:
+def _time_decisions(service: ServiceState, arrival: Arrival) -> float:
     start = perf_counter()
     for _ in range(DECISIONS):
-        verdict = admit(service, 0, arrival)
-        if isinstance(verdict, Send):
-            attempt = service.ledger.attempts[verdict.attempt]
+        decision = admit(service, 0, arrival)
+        if isinstance(decision, Send):
+            attempt = service.table.attempts[decision.attempt]
             attempt.follow(AttemptTrigger.WRITE)
-            service.board.note_started(0, verdict.target, verdict.attempt)
+            service.detector.note_started(0, decision.target, decision.attempt)
             finish(service, 0, attempt, ANSWER)
         serve_queue(service, 0)
     return (perf_counter() - start) / DECISIONS * MICROSECONDS
--- a/hillfield/routing/notes.py
+++ b/hillfield/routing/progress.py
@@ -1,31 +1,31 @@
-"""What a dispatcher is told of attempts under way."""
+"""Progress of attempts as reported by the request path."""
 
 from hillfield.model import TargetNotice
 from hillfield.routing.phases import AttemptTrigger
 from hillfield.routing.requests import NothingWritten
-from hillfield.routing.service import Service
+from hillfield.routing.service import ServiceState
 
 
-class AttemptNotes:
-    """Take notes of a service's attempts."""
+class AttemptProgress:
+    """Record the progress of a service's attempts."""
 
-    def __init__(self, service: Service) -> None:
-        """Take notes for this service."""
-        self.board = service.board
+    def __init__(self, service: ServiceState) -> None:
+        """Record the attempts of this service."""
+        self.board = service.detector
         self._service = service
 
     def note_written(self, now: float, attempt: int) -> None:
-        """Note that the attempt's first byte is about to be written."""
-        found = self._service.ledger.find(attempt)
+        """Record that the attempt's first byte is about to be written."""
+        found = self._service.table.find(attempt)
         if found is not None:
             found.follow(AttemptTrigger.WRITE)
             self.board.note_started(now, found.target.id, attempt)
 
     def note_silent(self, now: float, attempt: int) -> None:
-        """Note that the other end gave no sign of life in time."""
-        found = self._service.ledger.find(attempt)
+        """Record that no keepalive for the attempt arrived in time."""
+        found = self._service.table.find(attempt)
         if found is not None:
-            lost = NothingWritten('no sign of life')
+            lost = NothingWritten('no keepalive arrived in time')
             self.board.observe(now, found.target.id, attempt, lost)
 
     def note_notice(
@@ -34,11 +34,11 @@
         attempt: int,
         notice: TargetNotice,
     ) -> None:
-        """Ignore it: the gate of the target obeys what it says."""
+        """Ignore the notice: the target's gate applies it."""
 
     def note_head(self, now: float, attempt: int) -> None:
-        """Note that the head of the attempt's answer has come."""
-        found = self._service.ledger.find(attempt)
+        """Record that the head of the attempt's answer has arrived."""
+        found = self._service.table.find(attempt)
         if found is not None:
             found.follow(AttemptTrigger.HEAD)
             self.board.note_head(now, found.target.id, attempt)
--- a/hillfield/routing/queues.py
+++ b/hillfield/routing/queues.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a slot, fair between client accounts."""
+"""Queue of requests that wait for a slot, fair between client accounts."""
 
 from bisect import bisect_left, bisect_right
 from collections import OrderedDict
@@ -6,96 +6,99 @@
 from itertools import chain
 from typing import Final
 
+from hillfield.routing.queueorder import QueueOrder
 from hillfield.routing.records import RequestRecord
-from hillfield.routing.turns import Turn
 
-SHARE_OF_FIRST: Final = 0.9
+# Largest share of the deadline that a first attempt is assumed to take.
+FIRST_DEADLINE_SHARE: Final = 0.9
 
 
 class FairQueue:
-    """Serve accounts one after the other, each by the turns of its requests.
+    """Serve accounts in round robin, the requests of each by queue order.
 
-    Those of one account whose turns are alike go in order of arrival, but for
-    quick ones: there the newest goes first, since it has most time left.
-    Requests cost one unit each, so that deficit round robin (Shreedhar and
-    Varghese, 1995) comes down to plain turns.
+    Requests of one account with equal queue order are served first in, first
+    out, except for quick ones: those are served last in, first out, since the
+    newest has most time left. Each request costs one unit, which reduces
+    deficit round robin (Shreedhar and Varghese, 1995) to plain round robin.
     """
 
     def __init__(self) -> None:
-        """Start empty."""
-        self._lines: OrderedDict[str, list[RequestRecord]] = OrderedDict()
-        self._length = 0
+        """Create an empty queue."""
+        self._queues: OrderedDict[str, list[RequestRecord]] = OrderedDict()
+        self._count = 0
 
     def __len__(self) -> int:
-        """Return how many requests wait."""
-        return self._length
+        """Return the number of waiting requests."""
+        return self._count
 
     def __iter__(self) -> Iterator[RequestRecord]:
-        """Yield the requests that wait; none may be taken out meanwhile."""
-        return chain.from_iterable(self._lines.values())
+        """Yield the waiting requests; do not change the queue meanwhile."""
+        return chain.from_iterable(self._queues.values())
 
-    def accounts(self) -> int:
-        """Return how many accounts wait."""
-        return len(self._lines)
+    def count_accounts(self) -> int:
+        """Return how many accounts have waiting requests."""
+        return len(self._queues)
 
-    def waiting(self, account: str) -> int:
-        """Return how many requests of the account wait."""
-        return len(self._lines.get(account, ()))
+    def count_waiting(self, account: str) -> int:
+        """Return the number of the account's waiting requests."""
+        return len(self._queues.get(account, ()))
 
     def push(self, record: RequestRecord) -> None:
-        """Let a request wait among those of its account."""
+        """Add a request to the queue of its account."""
         account = record.arrival.plan.account
-        line = self._lines.setdefault(account, [])
-        place = bisect_right if record.turn.long else bisect_left
-        line.insert(place(line, record.turn, key=read_turn), record)
-        self._length += 1
+        requests = self._queues.setdefault(account, [])
+        bisect = bisect_right if record.queue_order.long else bisect_left
+        requests.insert(
+            bisect(requests, record.queue_order, key=get_queue_order), record
+        )
+        self._count += 1
 
     def peek(self) -> RequestRecord:
-        """Return the request whose turn it is."""
-        return next(iter(self._lines.values()))[0]
+        """Return the next request without removing it."""
+        return next(iter(self._queues.values()))[0]
 
     def pop(self) -> RequestRecord:
-        """Take the first request of the account whose turn it is."""
-        account, line = next(iter(self._lines.items()))
-        record = line.pop(0)
-        self._length -= 1
-        if line:
-            self._lines.move_to_end(account)
+        """Remove and return the first request of the next account."""
+        account, requests = next(iter(self._queues.items()))
+        record = requests.pop(0)
+        self._count -= 1
+        if requests:
+            self._queues.move_to_end(account)
         else:
-            self._lines.pop(account)
+            self._queues.pop(account)
         return record
 
     def remove(self, record: RequestRecord) -> None:
-        """Take a request out, wherever it waits."""
+        """Remove a request, if it is queued."""
         account = record.arrival.plan.account
-        line = self._lines.get(account)
-        if line is None or record not in line:
+        requests = self._queues.get(account)
+        if requests is None or record not in requests:
             return
-        line.remove(record)
-        self._length -= 1
-        if not line:
-            self._lines.pop(account)
+        requests.remove(record)
+        self._count -= 1
+        if not requests:
+            self._queues.pop(account)
 
-    def longest(self) -> int:
-        """Return how many wait of the account with the most waiting."""
-        return max(map(len, self._lines.values()), default=0)
+    def longest_length(self) -> int:
+        """Return the length of the longest queue of an account."""
+        return max(map(len, self._queues.values()), default=0)
 
     def evict(self) -> RequestRecord:
-        """Take the last in turn of the account with the most waiting."""
-        line = max(self._lines.values(), key=len)
-        record = line[-1]
+        """Remove and return the last request of the longest queue."""
+        requests = max(self._queues.values(), key=len)
+        record = requests[-1]
         self.remove(record)
         return record
 
-    def take_all_that(
+    def remove_matching(
         self,
         is_over: Callable[[RequestRecord], bool],
     ) -> tuple[RequestRecord, ...]:
-        """Take out the requests whose wait is over."""
+        """Remove and return the requests for which `is_over` is true."""
         over = tuple(
             record
-            for line in self._lines.values()
-            for record in line
+            for requests in self._queues.values()
+            for record in requests
             if is_over(record)
         )
         for record in over:
@@ -103,16 +106,16 @@
         return over
 
 
-def read_turn(record: RequestRecord) -> Turn:
-    """Return when a request goes among those that wait."""
-    return record.turn
+def get_queue_order(record: RequestRecord) -> QueueOrder:
+    """Return the queue order of a request."""
+    return record.queue_order
 
 
 def is_late(start: float, need: float, record: RequestRecord) -> bool:
-    """Tell whether a first attempt at this time would not end in time.
+    """Return whether a first attempt at `start` would miss the deadline.
 
-    What is sent too late costs a slot and brings nothing, so that the need
+    A request sent too late uses a slot in vain, so the estimated duration
     counts up to nearly the whole deadline.
     """
-    bound = record.bound_need(need, SHARE_OF_FIRST)
+    bound = record.bound_duration(need, FIRST_DEADLINE_SHARE)
     return start + bound >= record.arrival.expires
--- a/hillfield/routing/readings.py
+++ b/hillfield/routing/readings.py
@@ -1,4 +1,4 @@
-"""What each observation means for its attempt and its caller."""
+"""Classification of observations for attempts, targets and callers."""
 
 from functools import singledispatch
 from http import HTTPStatus
@@ -25,12 +25,13 @@
 GATEWAY_TIMEOUT: Final[int] = HTTPStatus.GATEWAY_TIMEOUT
 
 
-class Reading(Struct, frozen=True):
-    """Hold an observation's trigger and what to tell if all else fails.
+class Classification(Struct, frozen=True):
+    """Hold the chart trigger of an observation and how to report a failure.
 
-    `status` is the answer's status if the request may have run,
-    `same_target` says whether the same target may be tried again when no
-    other is in rotation, `failed` whether it speaks against the target.
+    `status` is the status of the answer to the caller if the request may have
+    run. `same_target` says whether the same target may be tried again if no
+    other is in rotation, `failed` whether the attempt is a failure of the
+    target.
     """
 
     trigger: AttemptTrigger
@@ -44,14 +45,14 @@
 
 
 @singledispatch
-def read_observation(observation: Observation) -> Reading:
-    """Return the reading of an observation."""
-    raise TypeError(f'no reading of {type(observation).__name__}')
+def read_observation(observation: Observation) -> Classification:
+    """Return what an observation means."""
+    raise TypeError(f'unknown observation: {type(observation).__name__}')
 
 
 @read_observation.register
-def _connect_failed(observation: ConnectFailed) -> Reading:
-    return Reading(
+def _connect_failed(observation: ConnectFailed) -> Classification:
+    return Classification(
         AttemptTrigger.CONNECT_FAILED,
         EventCode.TARGET_NOT_REACHED,
         Step.CONNECT,
@@ -61,8 +62,8 @@
 
 
 @read_observation.register
-def _nothing_written(observation: NothingWritten) -> Reading:
-    return Reading(
+def _nothing_written(observation: NothingWritten) -> Classification:
+    return Classification(
         AttemptTrigger.NOTHING_WRITTEN,
         EventCode.TARGET_NOT_REACHED,
         Step.SEND,
@@ -72,8 +73,8 @@
 
 
 @read_observation.register
-def _declined(observation: Declined) -> Reading:
-    return Reading(
+def _declined(observation: Declined) -> Classification:
+    return Classification(
         AttemptTrigger.DECLINED,
         EventCode.TARGET_DECLINED,
         Step.ADMIT,
@@ -85,8 +86,8 @@
 
 
 @read_observation.register
-def _shed(observation: Shed) -> Reading:
-    return Reading(
+def _shed(observation: Shed) -> Classification:
+    return Classification(
         AttemptTrigger.SHED,
         EventCode.REQUEST_SHED,
         detail='the target refused: it is full',
@@ -97,34 +98,34 @@
 
 
 @read_observation.register
-def _broken(observation: Broken) -> Reading:
+def _broken(observation: Broken) -> Classification:
     trigger = AttemptTrigger.BROKEN
     if observation.relayed:
         trigger = AttemptTrigger.RELAYED
-    return Reading(trigger, detail=observation.detail)
+    return Classification(trigger, detail=observation.detail)
 
 
 @read_observation.register
-def _timed_out(observation: TimedOut) -> Reading:
+def _timed_out(observation: TimedOut) -> Classification:
     trigger = AttemptTrigger.TIMED_OUT
     if observation.relayed:
         trigger = AttemptTrigger.RELAYED
-    return Reading(
+    return Classification(
         trigger,
         EventCode.REQUEST_TIMED_OUT,
         status=GATEWAY_TIMEOUT,
-        detail='no whole answer came in time',
+        detail='no complete answer arrived in time',
     )
 
 
 @read_observation.register
-def _answered(observation: Answered) -> Reading:
+def _answered(observation: Answered) -> Classification:
     if not observation.wrong:
-        return Reading(AttemptTrigger.ANSWERED, failed=False)
+        return Classification(AttemptTrigger.ANSWERED, failed=False)
     trigger = AttemptTrigger.WRONG
     if observation.relayed:
         trigger = AttemptTrigger.RELAYED
-    return Reading(
+    return Classification(
         trigger,
         EventCode.ANSWER_WRONG,
         detail=f'wrong answer: {observation.wrong}',
@@ -132,5 +133,5 @@
 
 
 @read_observation.register
-def _caller_gone(observation: CallerGone) -> Reading:
-    return Reading(AttemptTrigger.GONE, failed=False)
+def _caller_gone(observation: CallerGone) -> Classification:
+    return Classification(AttemptTrigger.GONE, failed=False)
--- a/hillfield/routing/roomviews.py
+++ b/hillfield/routing/roomviews.py
@@ -1,19 +1,18 @@
-"""What operators are shown of a service's room, as one node knows it."""
+"""Reported capacity of a service's targets as shown to operators."""
 
 from msgspec import Struct
 
+from hillfield.routing.capacity import ReportedCapacity
 from hillfield.routing.loads import TargetLoad
-from hillfield.routing.rooms import Room
-from hillfield.routing.service import Service
+from hillfield.routing.service import ServiceState
 
 
 class RoomExplanation(Struct, frozen=True):
-    """Show one target's room; `age` is seconds since its gate told it.
+    """Show one target's capacity; `age` is the seconds since it was reported.
 
     `free` and `waiting` count slots and requests at its gate, `held` names the
-    work that the gate holds back, `in_flight` counts this node's requests,
-    `rate` is the requests a second that the target takes (None: it names no
-    limit).
+    work that the gate withholds, `in_flight` counts this node's requests, and
+    `rate` is the target's limit in requests a second (None: no limit).
     """
 
     target: str
@@ -27,29 +26,35 @@
     rate: float | None = None
 
 
-def explain_rooms(service: Service, now: float) -> tuple[RoomExplanation, ...]:
-    """Return the room of each target whose gate has told of it."""
-    service.selector.adopt(service.board.rotation())
-    service.rooms.are_known(now)
+def explain_capacities(
+    service: ServiceState, now: float
+) -> tuple[RoomExplanation, ...]:
+    """Return the capacity of each target whose gate has reported it."""
+    service.selector.adopt(service.detector.rotation())
+    service.capacities.has_reports(now)
     known = (
-        (load, service.rooms.find(target))
+        (load, service.capacities.find(target))
         for target, load in service.selector.loads.items()
     )
     return tuple(
-        _explain(now, load, room) for load, room in known if room is not None
+        _explain(now, load, capacity)
+        for load, capacity in known
+        if capacity is not None
     )
 
 
-def _explain(now: float, load: TargetLoad, room: Room) -> RoomExplanation:
+def _explain(
+    now: float, load: TargetLoad, capacity: ReportedCapacity
+) -> RoomExplanation:
     target = load.target
     return RoomExplanation(
         str(target.id),
         target.locality.failure_domain,
         target.slots,
         load.in_flight,
-        max(0, room.free),
-        room.waiting,
-        room.held.name.lower(),
-        max(0, now - room.told),
-        room.rate,
+        max(0, capacity.free),
+        capacity.waiting,
+        capacity.withheld.name.lower(),
+        max(0, now - capacity.received_at),
+        capacity.rate,
     )
--- a/hillfield/routing/selection.py
+++ b/hillfield/routing/selection.py
@@ -1,26 +1,30 @@
 """Choice of the target for one attempt.
 
-Two targets are drawn at random by share and the one with the lower expected
-cost is taken (Mitzenmacher, "The power of two choices in randomized load
-balancing", 2001). A choice costs the same at 30 targets and at 1,000.
+Two targets are drawn at random, weighted by share, and the one with the lower
+expected cost is chosen (Mitzenmacher, "The power of two choices in randomized
+load balancing", 2001). A choice takes as long with 30 targets as with 1,000.
 """
 
 from random import Random
 from typing import Final
 
-from hillfield.model import Locality, Target, TargetId, TargetState
 from hillfield.detection.rotation import Candidate, Rotation
+from hillfield.model import Locality, Target, TargetId, TargetState
 from hillfield.routing.loads import FAILURE_FACTOR, Latency, TargetLoad, Tier
 from hillfield.routing.pauses import Pauses
 
+# Load from which a tier is no longer preferred to those farther away.
 SPILL_LOAD: Final = 0.75
+# Seconds for which a slot that this node has released counts as still free.
 FREED_SECONDS: Final = 0.005
+# Share of choices that take the first drawn target whatever its cost, so that
+# the latency of costly targets is measured again.
 EXPLORATION: Final = 0.05
 TIERS: Final = 3
 
 
 class Selector:
-    """Choose targets within the rotation, their slots and their distance."""
+    """Choose targets by rotation, free slots, distance and expected cost."""
 
     def __init__(self, locality: Locality, random: Random) -> None:
         """Start without targets."""
@@ -36,12 +40,12 @@
         self._freed: TargetLoad | None = None
 
     def adopt_allowances(self, allowances: dict[TargetId, int]) -> None:
-        """Take how many connections this node may open to each target."""
+        """Set how many connections this node may open to each target."""
         self._allowances = allowances
         self._rotation = None
 
     def adopt(self, rotation: Rotation) -> None:
-        """Take the rotation; costs nothing unless it has changed."""
+        """Use this rotation; return at once if it is the present one."""
         if rotation is self._rotation:
             return
         self._rotation = rotation
@@ -55,11 +59,11 @@
             load.leave_tier()
         self.loads = kept
         for candidate in rotation.candidates:
-            self._enter(candidate)
+            self._add_candidate(candidate)
         self.capacity = sum(tier.capacity for tier in self._tiers)
 
     def has_other(self, excluded: tuple[TargetId, ...]) -> bool:
-        """Tell whether the rotation has a target that is not excluded."""
+        """Return whether the rotation has a target that is not excluded."""
         return any(
             load.tier is not None and identity not in excluded
             for identity, load in self.loads.items()
@@ -70,10 +74,10 @@
         now: float,
         excluded: tuple[TargetId, ...] = (),
     ) -> Target | None:
-        """Return the target that has just answered, if it is still free.
+        """Return the target that has just answered, if it still has a slot.
 
-        Where many nodes share targets that are full, the slot that this node
-        has given back is the only one that it knows to be free.
+        If many nodes share targets that are full, the slot that this node
+        released is the only one that it knows to be free.
         """
         load = self._freed
         self._freed = None
@@ -91,45 +95,45 @@
         *,
         near: bool = False,
     ) -> Target | None:
-        """Return the target for an attempt, or None when none is free.
+        """Return the target for an attempt, or None if none is free.
 
-        `near` leaves out those of other failure domains.
+        `near` limits the choice to the own failure domain.
         """
         self.pauses.end(now)
-        tiers = self._tiers[:1] if near else self._ordered_tiers()
+        tiers = self._tiers[:1] if near else self._order_tiers()
         for tier in tiers:
             found = self._choose_within(now, tier, excluded)
             if found is not None:
                 return found.target
         return None
 
-    def note_sent(self, target: TargetId) -> None:
-        """Count a request in flight."""
+    def record_sent(self, target: TargetId) -> None:
+        """Count a request that was sent to the target."""
         load = self.loads[target]
         load.in_flight += 1
         if load.tier is not None:
             load.tier.busy += 1
             load.tier.update(load)
 
-    def note_ended(
+    def record_ended(
         self,
         now: float,
         target: TargetId,
         seconds: float | None,
         failed: bool,
     ) -> None:
-        """Count a request as ended; `seconds` is None when it tells nothing.
+        """Count a request as ended; `seconds` is None if not a measurement.
 
-        A target that fails fast must not look quick, so that a failure
-        counts as several times the service's latency.
+        A failure counts as several times the service's latency, so that a
+        target that fails fast does not look quick.
         """
         load = self.loads.get(target)
         if load is None:
             return
         load.in_flight -= 1
         if seconds is not None and not failed:
-            load.widen()
-            load.pauses = 0
+            load.grow_window()
+            load.consecutive_pauses = 0
         if load.tier is not None:
             load.tier.busy -= 1
             load.tier.update(load)
@@ -143,16 +147,16 @@
         load.latency.note(now, seconds)
 
     def pause(self, now: float, target: TargetId) -> None:
-        """Send less to a target that shed or timed out, first nothing.
+        """Pause a target that shed or timed out, and shrink its window.
 
-        When to come back, as the target's answer says it, is for callers:
-        the field's least is a second, of which slots are free many times.
+        The answer's Retry-After is meant for callers and not used here: its
+        least value is 1 s, in which slots become free many times.
         """
         load = self.loads.get(target)
         if load is not None:
             self.pauses.begin(now, load, self.latency.mean)
 
-    def _enter(self, candidate: Candidate) -> None:
+    def _add_candidate(self, candidate: Candidate) -> None:
         target = candidate.target
         if target.state is TargetState.DRAINING:
             return
@@ -167,12 +171,12 @@
         tier = self._tiers[rank]
         load.tier = tier
         tier.capacity += load.limit
-        tier.busy += load.in_flight + load.hint
+        tier.busy += load.in_flight + load.reported_load
         if load.paused:
             tier.busy += load.limit
         tier.update(load)
 
-    def _ordered_tiers(self) -> list[Tier]:
+    def _order_tiers(self) -> list[Tier]:
         tiers = [tier for tier in self._tiers if tier.free]
         for tier in tiers:
             if tier.load() < SPILL_LOAD:
@@ -193,11 +197,15 @@
         if second is None:
             return first
         if first.watched or second.watched:
-            # A suspected target is not left alone for its latency: what
-            # nobody asks can neither be convicted nor cleared.
-            return second if second.fill() < first.fill() else first
+            # Latency is ignored for a suspected target: without requests it
+            # could be neither ejected nor cleared.
+            return (
+                second if second.utilization() < first.utilization() else first
+            )
         mean = self.latency.mean
-        better = second.score(now, mean) < first.score(now, mean)
+        better = second.expected_cost(now, mean) < first.expected_cost(
+            now, mean
+        )
         return second if better else first
 
 
--- a/hillfield/routing/tests/test_declining.py
+++ b/hillfield/routing/tests/test_declining.py
@@ -1,4 +1,4 @@
-"""Requests that gates decline go on to other gates."""
+"""Requests that were declined by gates are sent to other gates."""
 
 from random import Random
 
@@ -16,13 +16,13 @@
 )
 from hillfield.routing import Dispatcher
 from hillfield.routing.declining import Declined
-from hillfield.routing.reluctance import REMEMBERED
+from hillfield.routing.recentdeclines import DECLINE_LIFETIME
 from hillfield.routing.requests import Answered, Arrival, Refuse, Send, Wait
-from hillfield.routing.reselection import FAR_AT_ONCE, FAR_EVERY
+from hillfield.routing.reselection import FAR_AT_ONCE, FAR_INTERVAL
 from hillfield.routing.urgency import (
-    INSISTS_AFTER,
-    INSISTS_LATEST,
-    PRESSES_LATEST,
+    ANY_SECONDS,
+    QUARANTINED_DECLINES,
+    QUARANTINED_SECONDS,
 )
 
 HERE = Locality('r', 'a', 'h')
@@ -42,8 +42,8 @@
 
 
 def make_dispatcher(count=10):
-    board = PathBoard(POLICY, HERE)
-    dispatcher = Dispatcher(POLICY, HERE, board, Random(1))
+    detector = PathBoard(POLICY, HERE)
+    dispatcher = Dispatcher(POLICY, HERE, detector, Random(1))
     dispatcher.adopt_targets(0, make_targets(count))
     return dispatcher
 
@@ -53,13 +53,13 @@
     return Arrival(name, plan, now + 5, True)
 
 
-def decline(dispatcher, verdict, now=0):
-    dispatcher.note_written(now, verdict.attempt)
-    return dispatcher.finish(now, verdict.attempt, Declined('full'))
+def decline(dispatcher, decision, now=0):
+    dispatcher.note_written(now, decision.attempt)
+    return dispatcher.finish(now, decision.attempt, Declined('full'))
 
 
-def test_declines_use_up_no_budget_of_repeats():
-    """Refused gates emptied a bucket that only answers filled again."""
+def test_declines_use_up_no_retry_budget():
+    """Declines emptied a bucket that only answers filled again."""
     dispatcher = make_dispatcher()
     for number in range(40):
         first = dispatcher.admit(number, arrive(f'r{number}', now=number))
@@ -71,45 +71,46 @@
         dispatcher.finish(number, second.attempt, Answered(200))
 
 
-def test_a_request_asks_each_gate_once_before_any_twice():
+def test_a_request_tries_each_gate_once_before_any_twice():
     dispatcher = make_dispatcher(4)
-    verdict = dispatcher.admit(0, arrive('r'))
-    asked = []
-    while isinstance(verdict, Send):
-        asked.append(verdict.target)
-        verdict = decline(dispatcher, verdict)
-    assert len(set(asked)) == len(asked) == 4
-    assert isinstance(verdict, Wait)
+    decision = dispatcher.admit(0, arrive('r'))
+    tried = []
+    while isinstance(decision, Send):
+        tried.append(decision.target)
+        decision = decline(dispatcher, decision)
+    assert len(set(tried)) == len(tried) == 4
+    assert isinstance(decision, Wait)
 
 
-def insists_when(idempotent, now):
+def decline_until(idempotent, now):
+    """Return the decision after many declines, the last one at `now`."""
     dispatcher = make_dispatcher()
-    verdict = dispatcher.admit(0, arrive('r', idempotent))
-    for _ in range(INSISTS_AFTER):
-        assert verdict.urgency < Urgency.INSISTS
-        verdict = decline(dispatcher, verdict)
-    assert verdict.urgency < Urgency.INSISTS
-    return decline(dispatcher, verdict, now)
+    decision = dispatcher.admit(0, arrive('r', idempotent))
+    for _ in range(QUARANTINED_DECLINES):
+        assert decision.urgency < Urgency.INSISTS
+        decision = decline(dispatcher, decision)
+    assert decision.urgency < Urgency.INSISTS
+    return decline(dispatcher, decision, now)
 
 
-def test_a_request_that_many_gates_declined_insists_after_a_while():
+def test_a_request_declined_by_many_gates_accepts_quarantined_targets():
     for idempotent in (True, False):
-        insisting = insists_when(idempotent, INSISTS_LATEST)
-        assert insisting.urgency is Urgency.INSISTS
+        sent = decline_until(idempotent, QUARANTINED_SECONDS)
+        assert sent.urgency is Urgency.INSISTS
 
 
-def test_a_request_that_gates_decline_for_long_presses():
-    pressing = insists_when(False, PRESSES_LATEST)
-    assert pressing.urgency is Urgency.PRESSES
+def test_a_request_declined_for_long_accepts_any_target():
+    sent = decline_until(False, ANY_SECONDS)
+    assert sent.urgency is Urgency.PRESSES
 
 
-def test_only_what_has_a_repeat_left_may_try_a_doubtful_target():
+def test_only_a_request_with_a_retry_left_is_a_trial():
     dispatcher = make_dispatcher()
-    poor = dispatcher.admit(0, arrive('a', idempotent=True))
-    assert not poor.trial
-    rich = ServicePolicy('s', retry_burst=5)
-    dispatcher.adopt_policy(0, rich)
-    dispatcher.board.adopt_policy(0, rich)
+    without_retry = dispatcher.admit(0, arrive('a', idempotent=True))
+    assert not without_retry.trial
+    with_retries = ServicePolicy('s', retry_burst=5)
+    dispatcher.adopt_policy(0, with_retries)
+    dispatcher.board.adopt_policy(0, with_retries)
     for number in range(20):
         sent = dispatcher.admit(0, arrive(f'x{number}'))
         dispatcher.note_written(0, sent.attempt)
@@ -118,129 +119,129 @@
     assert dispatcher.admit(0, arrive('b', idempotent=True)).trial
 
 
-def test_a_request_that_all_decline_ends_as_not_run():
+def test_a_request_that_all_gates_decline_ends_as_not_run():
     dispatcher = make_dispatcher(2)
-    verdict = dispatcher.admit(0, arrive('r'))
+    decision = dispatcher.admit(0, arrive('r'))
     now = float()
-    while not isinstance(verdict, Refuse):
-        if isinstance(verdict, Send):
-            verdict = decline(dispatcher, verdict, now)
+    while not isinstance(decision, Refuse):
+        if isinstance(decision, Send):
+            decision = decline(dispatcher, decision, now)
         else:
             now += 0.05
             polled = dispatcher.poll(now)
-            verdict = polled[0] if polled else verdict
+            decision = polled[0] if polled else decision
         assert now < 5
-    assert verdict.failure.status == 503
+    assert decision.failure.status == 503
 
 
-def test_requests_wait_a_moment_for_the_first_target():
-    """After a restart 143 requests were refused before any target was heard."""
+def test_requests_wait_for_the_first_target():
+    """After a restart, 143 requests were refused before a target was known."""
     patient = replace(POLICY, patience=1)
     dispatcher = Dispatcher(patient, HERE, PathBoard(patient, HERE), Random(1))
     assert isinstance(dispatcher.admit(0, arrive('r')), Wait)
     assert not dispatcher.poll(0.5)
     dispatcher.adopt_targets(0.6, make_targets(1))
-    assert [verdict.request for verdict in dispatcher.poll(0.7)] == ['r']
+    assert [decision.request for decision in dispatcher.poll(0.7)] == ['r']
 
 
-def test_requests_wait_no_longer_than_that():
+def test_requests_wait_for_a_target_no_longer_than_the_policy_says():
     patient = replace(POLICY, patience=1)
     dispatcher = Dispatcher(patient, HERE, PathBoard(patient, HERE), Random(1))
     dispatcher.admit(0, arrive('r'))
     refused = dispatcher.poll(1.1)
-    assert [type(verdict) for verdict in refused] == [Refuse]
+    assert [type(decision) for decision in refused] == [Refuse]
     assert isinstance(dispatcher.admit(1.2, arrive('s')), Refuse)
 
 
-def hold_back(dispatcher, verdict, now=0):
-    dispatcher.note_written(now, verdict.attempt)
-    declined = Declined('shunned', lasting=True)
-    return dispatcher.finish(now, verdict.attempt, declined)
+def decline_lastingly(dispatcher, decision, now=0):
+    dispatcher.note_written(now, decision.attempt)
+    declined = Declined('quarantined', lasting=True)
+    return dispatcher.finish(now, decision.attempt, declined)
 
 
-def settle(dispatcher, verdict, now):
-    dispatcher.note_written(now, verdict.attempt)
-    dispatcher.finish(now, verdict.attempt, Answered(200))
+def answer(dispatcher, decision, now):
+    dispatcher.note_written(now, decision.attempt)
+    dispatcher.finish(now, decision.attempt, Answered(200))
 
 
-def make_shunned(count):
-    """Return a dispatcher and the target whose gate holds work back."""
+def make_quarantined(count):
+    """Return a dispatcher and the target whose gate declines lastingly."""
     dispatcher = make_dispatcher(count)
-    rich = ServicePolicy('s', retry_burst=5)
-    dispatcher.adopt_policy(0, rich)
-    dispatcher.board.adopt_policy(0, rich)
+    with_retries = ServicePolicy('s', retry_burst=5)
+    dispatcher.adopt_policy(0, with_retries)
+    dispatcher.board.adopt_policy(0, with_retries)
     first = dispatcher.admit(0, arrive('first'))
-    settle(dispatcher, hold_back(dispatcher, first), 0)
+    answer(dispatcher, decline_lastingly(dispatcher, first), 0)
     return dispatcher, first.target
 
 
-def list_asked(dispatcher, start, idempotent=False, attempts=2):
-    """Return which targets 40 requests of 0.4 s are sent to."""
-    asked = set()
+def list_tried(dispatcher, start, idempotent=False, attempts=2):
+    """Return the targets of 40 requests that are sent within 0.4 s."""
+    tried = set()
     for number in range(40):
         now = start + number / 100
         arrival = arrive(f'r{number}', idempotent, now)
         plan = replace(arrival.plan, maximum_attempts=attempts)
         sent = dispatcher.admit(now, replace(arrival, plan=plan))
-        asked.add(sent.target)
-        settle(dispatcher, sent, now)
-    return asked
+        tried.add(sent.target)
+        answer(dispatcher, sent, now)
+    return tried
 
 
-def test_a_gate_that_holds_work_back_is_not_asked_again_soon():
-    """Of 6,250 requests of a day 4,600 were declined by shunned targets."""
-    dispatcher, shunned = make_shunned(4)
-    assert shunned not in list_asked(dispatcher, 0.5)
+def test_a_gate_that_withholds_work_is_avoided_at_first():
+    """Gates of quarantined targets declined 4,600 of 6,250 requests."""
+    dispatcher, quarantined = make_quarantined(4)
+    assert quarantined not in list_tried(dispatcher, 0.5)
 
 
-def test_a_gate_that_held_work_back_is_asked_again_later():
-    dispatcher, shunned = make_shunned(2)
-    assert shunned in list_asked(dispatcher, REMEMBERED)
+def test_a_gate_that_withheld_work_is_tried_again_later():
+    dispatcher, quarantined = make_quarantined(2)
+    assert quarantined in list_tried(dispatcher, DECLINE_LIFETIME)
 
 
-def test_trials_go_to_a_gate_that_holds_work_back():
-    dispatcher, shunned = make_shunned(2)
-    assert shunned in list_asked(dispatcher, 0.5, idempotent=True)
+def test_trials_are_sent_to_a_gate_that_withholds_work():
+    dispatcher, quarantined = make_quarantined(2)
+    assert quarantined in list_tried(dispatcher, 0.5, idempotent=True)
 
 
-def test_a_last_attempt_is_no_trial():
-    dispatcher, shunned = make_shunned(2)
-    asked = list_asked(dispatcher, 0.5, idempotent=True, attempts=1)
-    assert shunned not in asked
+def test_a_last_attempt_is_not_a_trial():
+    dispatcher, quarantined = make_quarantined(2)
+    tried = list_tried(dispatcher, 0.5, idempotent=True, attempts=1)
+    assert quarantined not in tried
 
 
-def test_where_all_gates_hold_work_back_they_are_asked_all_the_same():
+def test_gates_that_withhold_work_are_tried_if_there_are_no_others():
     dispatcher = make_dispatcher(3)
-    verdict = dispatcher.admit(0, arrive('first'))
+    decision = dispatcher.admit(0, arrive('first'))
     for _ in range(2):
-        verdict = hold_back(dispatcher, verdict)
-    hold_back(dispatcher, verdict)
+        decision = decline_lastingly(dispatcher, decision)
+    decline_lastingly(dispatcher, decision)
     dispatcher.leave(0, 'first')
     assert isinstance(dispatcher.admit(1, arrive('next', now=1)), Send)
 
 
-def test_few_gates_of_other_domains_are_asked_at_once():
-    """Of 9,500 requests sent to other domains 8,300 were declined there."""
+def test_few_gates_of_other_domains_are_tried_at_once():
+    """Of 9,500 requests sent to other domains, 8,300 were declined there."""
     far = tuple(
         replace(target, locality=Locality('r', 'b', 'h'))
         for target in make_targets(10)
     )
     dispatcher = make_dispatcher()
     dispatcher.adopt_targets(0, far)
-    verdict = dispatcher.admit(0, arrive('r'))
-    asked = 0
-    while isinstance(verdict, Send):
-        asked += 1
-        verdict = decline(dispatcher, verdict)
-    assert asked == FAR_AT_ONCE
-    assert isinstance(verdict, Wait)
-    assert not dispatcher.poll(FAR_EVERY / 2)
-    assert isinstance(dispatcher.poll(1.1 * FAR_EVERY)[0], Send)
-
-
-def test_gates_of_the_own_domain_are_asked_on():
+    decision = dispatcher.admit(0, arrive('r'))
+    tried = 0
+    while isinstance(decision, Send):
+        tried += 1
+        decision = decline(dispatcher, decision)
+    assert tried == FAR_AT_ONCE
+    assert isinstance(decision, Wait)
+    assert not dispatcher.poll(FAR_INTERVAL / 2)
+    assert isinstance(dispatcher.poll(1.1 * FAR_INTERVAL)[0], Send)
+
+
+def test_all_gates_of_the_own_domain_are_tried():
     dispatcher = make_dispatcher()
-    verdict = dispatcher.admit(0, arrive('r'))
+    decision = dispatcher.admit(0, arrive('r'))
     for _ in range(2 * FAR_AT_ONCE):
-        verdict = decline(dispatcher, verdict)
-        assert isinstance(verdict, Send)
+        decision = decline(dispatcher, decision)
+        assert isinstance(decision, Send)
--- a/hillfield/routing/tests/test_placing.py
+++ b/hillfield/routing/tests/test_placement.py
@@ -1,4 +1,4 @@
-"""Where requests go, by what gates tell of their targets' room."""
+"""Selection of targets by the capacity that their gates report."""
 
 from random import Random
 from typing import Any
@@ -17,15 +17,15 @@
     TargetId,
 )
 from hillfield.routing import Dispatcher
+from hillfield.routing.capacity import REPORT_LIFETIME, CapacityTable
 from hillfield.routing.requests import Answered, Arrival, Send
-from hillfield.routing.rooms import BELIEVED, Rooms
 
 HERE = Locality('r', 'a', 'h')
 THERE = Locality('r', 'b', 'h')
 SLOTS = 5
 NEAR = (0, 1)
 FAR = (2, 3)
-ONCE = RequestPlan('s', 'post', '', False, 5, maximum_attempts=2, aim=1.5)
+POST = RequestPlan('s', 'post', '', False, 5, maximum_attempts=2, aim=1.5)
 LOOKUP = RequestPlan('s', 'get', '', True, 4, maximum_attempts=2, aim=1.5)
 
 
@@ -34,12 +34,12 @@
 
 
 class Fleet:
-    """Play the gates of two near and two far targets."""
+    """Stand in for the gates of two near and two far targets."""
 
     def __init__(self):
         policy = make_policy(0.2, 0.7)
-        board = PathBoard(policy, HERE)
-        self.dispatcher = Dispatcher(policy, HERE, board, Random(1))
+        detector = PathBoard(policy, HERE)
+        self.dispatcher = Dispatcher(policy, HERE, detector, Random(1))
         targets = tuple(
             Target(
                 identify(number),
@@ -52,7 +52,7 @@
         self.dispatcher.adopt_targets(0, targets)
         self.count = 0
 
-    def tell(self, number, free, waiting=0, held=Held.NOTHING, now=0):
+    def report(self, number, free, waiting=0, held=Held.NOTHING, now=0):
         self.count += 1
         identity = identify(number)
         self.dispatcher.adopt_report(
@@ -69,18 +69,18 @@
             ),
         )
 
-    def place(self, name='r', plan=ONCE, now=0):
+    def place(self, name='r', plan=POST, now=0):
         arrival = Arrival(name, plan, now + plan.deadline, True)
         sent = self.dispatcher.admit(now, arrival)
         assert isinstance(sent, Send)
         return int(sent.target.address.ip.rpartition('.')[2])
 
-    def place_many(self, count=40, plan=ONCE):
+    def place_many(self, count=40, plan=POST):
         return {self.place(f'r{step}', plan) for step in range(count)}
 
     def learn(self, seconds):
         for step in range(20):
-            arrival = Arrival(f'l{step}', ONCE, 10, True)
+            arrival = Arrival(f'l{step}', POST, 10, True)
             sent: Any = self.dispatcher.admit(0, arrival)
             self.dispatcher.note_written(0, sent.attempt)
             self.dispatcher.finish(seconds, sent.attempt, Answered(200))
@@ -91,115 +91,115 @@
     return Fleet()
 
 
-def test_requests_stay_near_while_there_is_room(fleet):
-    """A busy near target made requests cross with all their bytes."""
+def test_requests_stay_near_while_slots_are_free(fleet):
+    """A busy near target made requests leave the failure domain."""
     for number in (*NEAR, *FAR):
-        fleet.tell(number, SLOTS)
+        fleet.report(number, SLOTS)
     assert fleet.place_many(2 * SLOTS) <= set(NEAR)
 
 
-def test_what_this_node_sends_counts_before_the_next_report(fleet):
-    fleet.tell(0, 1)
-    fleet.tell(1, 1)
-    fleet.tell(2, 5)
-    fleet.tell(3, 5)
+def test_sent_requests_count_before_the_next_report(fleet):
+    fleet.report(0, 1)
+    fleet.report(1, 1)
+    fleet.report(2, 5)
+    fleet.report(3, 5)
     first = [fleet.place(name) for name in 'ab']
     assert set(first) == set(NEAR)
 
 
-def test_a_short_wait_nearby_goes_before_a_way_across(fleet):
+def test_a_short_wait_nearby_is_preferred_to_another_domain(fleet):
     fleet.learn(0.4)
     for number in NEAR:
-        fleet.tell(number, 0)
+        fleet.report(number, 0)
     for number in FAR:
-        fleet.tell(number, SLOTS)
+        fleet.report(number, SLOTS)
     assert fleet.place() in NEAR
 
 
-def test_a_wait_that_makes_the_answer_late_sends_it_across(fleet):
+def test_a_wait_that_makes_the_answer_late_leaves_the_domain(fleet):
     fleet.learn(0.4)
     for number in NEAR:
-        fleet.tell(number, 0, waiting=15)
+        fleet.report(number, 0, waiting=15)
     for number in FAR:
-        fleet.tell(number, SLOTS)
+        fleet.report(number, SLOTS)
     assert fleet.place() in FAR
 
 
-def test_where_all_are_full_nothing_crosses_in_vain(fleet):
-    """Of 9,500 requests sent across on an overloaded day 8,300 came back."""
+def test_if_all_targets_are_full_no_request_leaves_the_domain(fleet):
+    """Of 9,500 requests sent to other domains, 8,300 were declined there."""
     fleet.learn(0.4)
     for number in NEAR:
-        fleet.tell(number, 0, waiting=15)
+        fleet.report(number, 0, waiting=15)
     for number in FAR:
-        fleet.tell(number, 0, waiting=15)
+        fleet.report(number, 0, waiting=15)
     assert fleet.place() in NEAR
 
 
-def test_work_that_runs_once_avoids_what_is_suspected(fleet):
-    fleet.tell(0, SLOTS, held=Held.ONCE)
-    fleet.tell(1, SLOTS)
+def test_non_idempotent_requests_avoid_suspected_targets(fleet):
+    fleet.report(0, SLOTS, held=Held.ONCE)
+    fleet.report(1, SLOTS)
     assert fleet.place_many(4) == {1}
 
 
-def test_lookups_do_not_avoid_a_mere_suspect(fleet):
-    fleet.tell(0, SLOTS, held=Held.ONCE)
-    fleet.tell(1, SLOTS)
+def test_idempotent_requests_do_not_avoid_suspected_targets(fleet):
+    fleet.report(0, SLOTS, held=Held.ONCE)
+    fleet.report(1, SLOTS)
     assert fleet.place_many(8, LOOKUP) == {0, 1}
 
 
-def test_only_a_gate_that_asks_for_a_trial_gets_one(fleet):
+def test_only_a_gate_that_waits_for_a_trial_gets_one(fleet):
     fleet.dispatcher.tick(10)
-    fleet.tell(0, SLOTS, held=Held.ALL)
-    fleet.tell(1, SLOTS)
+    fleet.report(0, SLOTS, held=Held.ALL)
+    fleet.report(1, SLOTS)
     assert fleet.place_many(4, LOOKUP) == {1}
-    fleet.tell(0, SLOTS, held=Held.USUAL)
-    fleet.tell(1, SLOTS)
+    fleet.report(0, SLOTS, held=Held.USUAL)
+    fleet.report(1, SLOTS)
     assert fleet.place_many(6, LOOKUP) == {0, 1}
 
 
-def test_held_targets_are_the_last_choice(fleet):
+def test_targets_that_withhold_all_work_are_the_last_choice(fleet):
     for number in (*NEAR, *FAR):
-        fleet.tell(number, SLOTS, held=Held.ALL)
+        fleet.report(number, SLOTS, held=Held.ALL)
     assert fleet.place() in {*NEAR, *FAR}
 
 
-def test_a_late_report_changes_nothing():
-    rooms = Rooms()
+def test_an_older_report_changes_nothing():
+    capacities = CapacityTable()
     address = identify(0).address
     newer = LoadReport('s', address.ip, address.port, 1, 9, 0)
     older = LoadReport('s', address.ip, address.port, 1, 8, 5)
-    rooms.note(0, newer)
-    rooms.note(0, older)
-    assert rooms.list_full(0) == (identify(0),)
+    capacities.record_report(0, newer)
+    capacities.record_report(0, older)
+    assert capacities.list_full(0) == (identify(0),)
 
 
-def test_old_reports_are_not_believed():
-    rooms = Rooms()
+def test_reports_expire():
+    capacities = CapacityTable()
     address = identify(0).address
     report = LoadReport('s', address.ip, address.port, 1, 1, 0)
-    rooms.note(0, report)
-    assert rooms.are_known(BELIEVED)
-    assert not rooms.are_known(BELIEVED + 0.1)
-    assert not rooms.list_full(BELIEVED + 0.1)
+    capacities.record_report(0, report)
+    assert capacities.has_reports(REPORT_LIFETIME)
+    assert not capacities.has_reports(REPORT_LIFETIME + 0.1)
+    assert not capacities.list_full(REPORT_LIFETIME + 0.1)
 
 
-def test_what_has_ended_gives_its_room_back():
-    """Reports are rare where many nodes listen, requests aren't."""
-    rooms = Rooms()
+def test_the_end_of_a_request_restores_capacity():
+    """With many receiving nodes, reports are rarer than requests."""
+    capacities = CapacityTable()
     report = LoadReport('s', '10.0.0.1', 80, 1, 1, 1)
-    rooms.note(0, report)
-    rooms.take(report.target)
-    assert rooms.list_full(0) == (report.target,)
-    rooms.give_back(report.target)
-    assert not rooms.list_full(0)
+    capacities.record_report(0, report)
+    capacities.count_sent(report.target)
+    assert capacities.list_full(0) == (report.target,)
+    capacities.count_ended(report.target)
+    assert not capacities.list_full(0)
 
 
-def test_what_a_newer_report_counts_is_not_given_back():
-    rooms = Rooms()
+def test_requests_that_a_newer_report_counts_restore_nothing():
+    capacities = CapacityTable()
     report = LoadReport('s', '10.0.0.1', 80, 1, 1, 1)
-    rooms.note(0, report)
-    rooms.take(report.target)
+    capacities.record_report(0, report)
+    capacities.count_sent(report.target)
     newer = replace(report, number=2, free=0)
-    rooms.note(0, newer)
-    rooms.give_back(report.target)
-    assert rooms.list_full(0) == (report.target,)
+    capacities.record_report(0, newer)
+    capacities.count_ended(report.target)
+    assert capacities.list_full(0) == (report.target,)
--- a/hillfield/routing/tests/test_selection.py
+++ b/hillfield/routing/tests/test_selection.py
@@ -1,4 +1,4 @@
-"""Which target gets the next attempt."""
+"""Choice of the target for the next attempt."""
 
 from collections import Counter
 from heapq import heappop, heappush
@@ -46,8 +46,8 @@
 
 
 def answer(selector, target, seconds):
-    selector.note_sent(target.id)
-    selector.note_ended(1, target.id, seconds, failed=False)
+    selector.record_sent(target.id)
+    selector.record_ended(1, target.id, seconds, failed=False)
 
 
 def count_choices(watched):
@@ -59,17 +59,17 @@
     return chosen[TARGETS[0].id]
 
 
-def test_a_late_target_gets_little():
+def test_a_slow_target_gets_few_requests():
     assert count_choices(watched=False) < CHOICES / 40
 
 
-def test_a_suspected_target_gets_its_share_all_the_same():
-    """A target stayed suspected for 14 s: 2 of 700 requests went there."""
+def test_a_suspected_slow_target_still_gets_its_share():
+    """With 2 of 700 requests, a target stayed suspected for 14 s."""
     assert count_choices(watched=True) > CHOICES / 8
 
 
 def serve(dispatcher, now, number):
-    """Let a request be answered at once, late by the one slow target."""
+    """Send a request; return when it is answered, and its attempt."""
     arrival = Arrival(f'r{number}', LOOKUP, now + 5, True)
     sent = dispatcher.admit(now, arrival)
     seconds = SLOW if sent.target == TARGETS[0].id else QUICK
@@ -77,10 +77,10 @@
     return now + seconds, sent.attempt
 
 
-def test_a_suspicion_is_decided_soon():
+def test_a_suspected_target_is_decided_on_soon():
     policy = ServicePolicy('s')
-    board = HealthBoard(policy, HERE)
-    dispatcher = Dispatcher(policy, HERE, board, Random(1))
+    detector = HealthBoard(policy, HERE)
+    dispatcher = Dispatcher(policy, HERE, detector, Random(1))
     dispatcher.adopt_targets(0, TARGETS)
     open_attempts: list[tuple[float, int]] = []
     suspected = 0
@@ -92,35 +92,35 @@
         heappush(open_attempts, serve(dispatcher, now, step))
         if not step % 5:
             dispatcher.tick(now)
-        state = board.explain(now)[0].state
+        state = detector.explain(now)[0].state
         suspected += state == Health.SUSPECTED
     assert suspected / 50 < 1
 
 
-def list_watched(observation, seconds):
+def becomes_watched(observation, seconds):
     """Return whether a target that just became suspected is watched."""
-    board = HealthBoard(ServicePolicy('s'), HERE)
-    board.adopt_targets(0, TARGETS)
+    detector = HealthBoard(ServicePolicy('s'), HERE)
+    detector.adopt_targets(0, TARGETS)
     for number in range(60):
         target = TARGETS[number % 6].id
         start = number / 100
         end = start + QUICK
-        told = Answered(200)
+        seen = Answered(200)
         if target == TARGETS[0].id:
             end = start + seconds
-            told = observation
-        board.note_started(start, target, number)
-        board.observe(end, target, number, told)
-        board.tick(end)
-        if board.explain(end)[0].state == Health.SUSPECTED:
-            return board.rotation().candidates[0].watched
+            seen = observation
+        detector.note_started(start, target, number)
+        detector.observe(end, target, number, seen)
+        detector.tick(end)
+        if detector.explain(end)[0].state == Health.SUSPECTED:
+            return detector.rotation().candidates[0].watched
     raise AssertionError('never suspected')
 
 
 def test_a_target_that_answers_late_is_watched():
-    assert list_watched(Answered(200), SLOW)
+    assert becomes_watched(Answered(200), SLOW)
 
 
 def test_a_target_that_fails_is_not_watched():
-    """One lookup more failed at a flapping target than could be repeated."""
-    assert not list_watched(Answered(500, 'status'), QUICK)
+    """More lookups failed at a flapping target than could be retried."""
+    assert not becomes_watched(Answered(500, 'status'), QUICK)
--- a/hillfield/routing/tests/test_table.py
+++ b/hillfield/routing/tests/test_table.py
@@ -1,4 +1,4 @@
-"""Test the table of dispatchers."""
+"""The table of dispatchers."""
 
 from random import Random
 from typing import Any
@@ -18,11 +18,11 @@
     Target,
     TargetId,
 )
-from hillfield.routing.baseline import BaselineDispatcher
 from hillfield.routing import (
     Dispatcher,
     DispatcherTable,
 )
+from hillfield.routing.baseline import BaselineDispatcher
 from hillfield.routing.requests import Answered, Arrival, Broken, Done, Wait
 
 HERE = Locality('north', 'a', 'h1')
@@ -46,16 +46,16 @@
     )
 
 
-def make_table(board: Any = HealthBoard, kind: Any = Dispatcher) -> Any:
-    return DispatcherTable(HERE, board, Random(1), kind)
+def make_table(detector: Any = HealthBoard, kind: Any = Dispatcher) -> Any:
+    return DispatcherTable(HERE, detector, Random(1), kind)
 
 
-class ListeningBoard(HealthBoard):
-    """Remember what other nodes told."""
+class RecordingDetector(HealthBoard):
+    """Record the evidence received from other nodes."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
         super().__init__(policy, locality)
-        self.heard: list[Any] = []
+        self.received: list[Any] = []
 
     def adopt_evidence(
         self,
@@ -64,14 +64,14 @@
         domain: str,
         evidence: tuple[Evidence, ...],
     ) -> None:
-        self.heard.append((now, node, evidence))
+        self.received.append((now, node, evidence))
 
 
-@mark.parametrize(('board', 'dispatcher'), KINDS)
-def test_service_is_known_before_its_policy_and_targets(board, dispatcher):
-    table = make_table(board, dispatcher)
-    verdict = table.for_service('claims').admit(0, make_arrival('a'))
-    assert verdict.failure.outcome is Outcome.NOT_RUN
+@mark.parametrize(('detector', 'dispatcher'), KINDS)
+def test_service_is_known_before_its_policy_and_targets(detector, dispatcher):
+    table = make_table(detector, dispatcher)
+    decision = table.for_service('claims').admit(0, make_arrival('a'))
+    assert decision.failure.outcome is Outcome.NOT_RUN
     table.adopt_targets(1, 'claims', make_targets(2))
     table.adopt_policy(1, ServicePolicy('claims', floor=0.9))
     send = table.for_service('claims').admit(1, make_arrival('b'))
@@ -79,15 +79,15 @@
     assert table.services() == ('claims',)
 
 
-@mark.parametrize(('board', 'dispatcher'), KINDS)
-def test_non_idempotent_is_sent_once(board, dispatcher):
-    table = make_table(board, dispatcher)
+@mark.parametrize(('detector', 'dispatcher'), KINDS)
+def test_non_idempotent_is_sent_once(detector, dispatcher):
+    table = make_table(detector, dispatcher)
     table.adopt_targets(0, 'claims', make_targets(2))
     found = table.for_service('claims')
     send = found.admit(0, make_arrival('a', idempotent=False))
     found.note_written(0, send.attempt)
-    verdict = found.finish(0.1, send.attempt, Broken('reset'))
-    assert verdict.failure.outcome is Outcome.UNKNOWN
+    decision = found.finish(0.1, send.attempt, Broken('reset'))
+    assert decision.failure.outcome is Outcome.UNKNOWN
 
 
 def test_poll_tick_and_explain_cover_all_services():
@@ -98,7 +98,7 @@
     assert found.admit(0, make_arrival('b')) == Wait('b')
     assert [seen.code.name for seen in table.tick(0.1)] == ['OVERLOAD_STARTED']
     assert found.finish(0.1, send.attempt, Answered(200)) == Done('a')
-    assert [verdict.request for verdict in table.poll(0.1)] == ['b']
+    assert [decision.request for decision in table.poll(0.1)] == ['b']
     assert [seen.code.name for seen in table.tick(0.2)] == ['OVERLOAD_ENDED']
     explanation = table.explain(0.2, 'claims')
     assert (explanation.admitted, explanation.sent) == (2, 2)
@@ -106,21 +106,21 @@
 
 
 def test_evidence_of_a_node_is_replaced_and_withdrawn():
-    table = make_table(ListeningBoard)
-    sick = make_targets(1)[0].id
-    told = Evidence(sick, Symptom.BROKEN, 50, 50, 1)
-    board = table.for_service('claims').board
+    table = make_table(RecordingDetector)
+    failing = make_targets(1)[0].id
+    piece = Evidence(failing, Symptom.BROKEN, 50, 50, 1)
+    detector = table.for_service('claims').board
     table.for_service('other')
-    table.adopt_evidence(1, 'n1', 'b', (told,))
+    table.adopt_evidence(1, 'n1', 'b', (piece,))
     table.adopt_evidence(2, 'n2', 'b', ())
     table.adopt_evidence(3, 'n1', 'b', ())
     table.adopt_evidence(4, 'n1', 'b', ())
-    heard = [(1, 'n1', (told,)), (3, 'n1', ())]
-    assert board.heard == heard
-    assert table.for_service('other').board.heard == []
+    received = [(1, 'n1', (piece,)), (3, 'n1', ())]
+    assert detector.received == received
+    assert table.for_service('other').board.received == []
 
 
-def test_connections_are_shared_by_all_nodes_also_in_a_partition():
+def test_connection_limits_are_shared_by_all_nodes_also_in_a_partition():
     table = make_table()
     targets = tuple(replace(target, slots=8) for target in make_targets(3))
     table.adopt_targets(0, 'claims', targets)
@@ -133,7 +133,7 @@
     assert table.explain(8000, 'claims').loads[0].limit == 8
 
 
-class CountingBoard(HealthBoard):
+class CountingDetector(HealthBoard):
     """Count ticks."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
@@ -146,21 +146,21 @@
 
 
 def test_quiet_services_are_ticked_once_a_second():
-    """Ticks of 260 idle services cost a node 2% of a core."""
-    table = make_table(CountingBoard)
-    board = table.for_service('claims').board
+    """Ticking 260 idle services at each tick took 2% of a core."""
+    table = make_table(CountingDetector)
+    detector = table.for_service('claims').board
     for number in range(1000):
         table.tick(number / 10)
-    assert 300 <= board.ticks <= 400
+    assert 300 <= detector.ticks <= 400
     table.for_service('claims')
-    before = board.ticks
+    before = detector.ticks
     for number in range(1000, 1010):
         table.tick(number / 10)
-    assert board.ticks == before + 10
+    assert detector.ticks == before + 10
 
 
-def test_evidence_sets_up_no_service_that_is_not_served():
-    """A node pays only for the services that its callers ask for."""
+def test_evidence_creates_no_dispatcher():
+    """A node only creates dispatchers of services that its callers use."""
     table = make_table()
     identity = TargetId('claims', Address('127.0.0.1', 9000), 1)
     evidence = (Evidence(identity, Symptom.WRONG, 4, 4, 1),)
@@ -169,8 +169,8 @@
 
 
 def test_a_service_with_a_long_request_is_not_quiet():
-    """A request may be at a target for longer than a service counts as used."""
-    table = make_table(CountingBoard)
+    """A request may be in flight for longer than a service counts as used."""
+    table = make_table(CountingDetector)
     table.adopt_targets(0, 'claims', make_targets(2))
     found = table.for_service('claims')
     send = found.admit(0, make_arrival('a'))
--- a/hillfield/routing/urgency.py
+++ b/hillfield/routing/urgency.py
@@ -1,40 +1,40 @@
-"""Which targets a request takes, after so many have declined it."""
+"""How healthy a target must be, by how many gates declined the request."""
 
 from typing import Final
 
 from hillfield.model import Urgency
 from hillfield.routing.records import RequestRecord
 
-# Gates that have declined a request before it takes a suspected target: a
-# target under suspicion is well more often than not, and others of its failure
-# domain have been asked by then, which takes 1 ms each.
-SETTLES_AFTER: Final = 2
-# Gates that have declined a request before it asks one to take it anyway: a
-# doubtful target answers half of what it gets, and nobody else would.
-INSISTS_AFTER: Final = 6
-# Seconds that a request first looks for a gate that takes it gladly: a slot
-# of 4 is free again about so soon, and a shunned target is judged anew.
-INSISTS_LATEST: Final = 0.25
-# Seconds after which it goes to a target whatever the odds there: work that
-# runs once is lost with a target that ends most of it, and an answer that
-# comes late is worth something.
-PRESSES_LATEST: Final = 1.0
+# Declines after which a request accepts a suspected target: such a target is
+# healthy more often than not, and others of its failure domain have been tried
+# by then, which takes 1 ms each.
+SUSPECTED_DECLINES: Final = 2
+# Declines after which a request accepts a quarantined target: such a target
+# answers half of its requests, and no other target is left.
+QUARANTINED_DECLINES: Final = 6
+# Seconds for which a request first looks for a healthy target: within about
+# this time one of 4 slots is free again, and a quarantined target is tested.
+QUARANTINED_SECONDS: Final = 0.25
+# Seconds after which it accepts any target. A request that must not be
+# repeated is lost at a target that breaks most requests, so this is the last
+# resort, but a late answer is still worth something.
+ANY_SECONDS: Final = 1.0
 
 
-def find_urgency(
+def compute_urgency(
     now: float,
     record: RequestRecord,
-    settles: bool = False,
+    allow_suspected: bool = False,
 ) -> Urgency:
-    """Return which targets the request's next attempt takes.
+    """Return which targets the request's next attempt accepts.
 
-    `settles` says that its target was chosen though it is suspected.
+    `allow_suspected` says that the chosen target is known to be suspected.
     """
-    declined = len(record.declined)
-    if declined < INSISTS_AFTER:
-        settles |= declined >= SETTLES_AFTER
-        return Urgency.SETTLES if settles else Urgency.CHOOSY
-    waited = record.find_spent(now)
-    if waited >= PRESSES_LATEST:
+    declined = len(record.declined_by)
+    if declined < QUARANTINED_DECLINES:
+        allow_suspected |= declined >= SUSPECTED_DECLINES
+        return Urgency.SETTLES if allow_suspected else Urgency.CHOOSY
+    waited = record.compute_elapsed(now)
+    if waited >= ANY_SECONDS:
         return Urgency.PRESSES
-    return Urgency.INSISTS if waited >= INSISTS_LATEST else Urgency.SETTLES
+    return Urgency.INSISTS if waited >= QUARANTINED_SECONDS else Urgency.SETTLES
