--- a/hillfield/node/calls.py
+++ b/hillfield/node/calls.py
@@ -1,4 +1,4 @@
-"""Let the gate hear which requests of its host have failed."""
+"""Report failed requests of this host's callers to the gate."""
 
 from hillfield.clocks import monotonic
 from hillfield.gate.calls import FailedCalls
@@ -7,27 +7,27 @@
 
 
 class CallMeter:
-    """Count as another meter does, and note failures for the gate."""
+    """Forward to another meter, and record failures for the gate."""
 
     def __init__(self, meter: RequestMeter, calls: FailedCalls) -> None:
-        """Pass all on to `meter`."""
+        """Forward every count to `meter`."""
         self._meter = meter
         self._calls = calls
 
     def note_request(self, service: str, outcome: Outcome) -> None:
-        """Count a request by what its caller was told."""
+        """Count a request by the outcome reported to its caller."""
         self._meter.note_request(service, outcome)
         if outcome is not Outcome.ANSWERED:
             self._calls.note(monotonic(), service)
 
     def note_added(self, seconds: float) -> None:
-        """Note what the node added to the target's own time."""
+        """Record the seconds that the node added to the target's latency."""
         self._meter.note_added(seconds)
 
     def note_retry(self, reason: str) -> None:
-        """Count a further attempt by what ended the one before."""
+        """Count a retry by how the previous attempt ended."""
         self._meter.note_retry(reason)
 
     def note_route(self, age: str, served: bool) -> None:
-        """Count a request by how long its route has been known here."""
+        """Count a request by the age of its route at this node."""
         self._meter.note_route(age, served)
--- a/hillfield/node/counting.py
+++ b/hillfield/node/counting.py
@@ -1,4 +1,4 @@
-"""Carry running totals of links and store into the metrics."""
+"""Export running totals of links and of the store to the metrics."""
 
 from collections import Counter
 from typing import Final
@@ -12,8 +12,8 @@
 FAILED: Final = 'failed'
 
 
-class TotalsCarrier:
-    """Add to the metrics what totals have grown by since the last time."""
+class TotalsExporter:
+    """Add to the metrics by how much the totals have grown."""
 
     def __init__(self, parts: Parts, fleet: Fleet) -> None:
         """Start from totals of zero."""
@@ -23,19 +23,19 @@
         self._started: Counter[CallKind] = Counter()
         self._failed: Counter[CallKind] = Counter()
 
-    def carry(self) -> None:
-        """Carry what is new."""
-        self._carry_links()
-        self._carry_calls()
+    def export(self) -> None:
+        """Add the growth since the last call."""
+        self._export_links()
+        self._export_calls()
 
-    def _carry_links(self) -> None:
+    def _export_links(self) -> None:
         before, now = self._links, self._fleet.links.counts
         self._links = now
         metrics = self._parts.metrics
         metrics.note_sent(now.sent_bytes - before.sent_bytes)
         metrics.note_received(now.received_bytes - before.received_bytes)
 
-    def _carry_calls(self) -> None:
+    def _export_calls(self) -> None:
         counts = self._parts.store.counts
         failed = counts.failed - self._failed
         done = counts.started - self._started - failed
--- a/hillfield/node/crashes.py
+++ b/hillfield/node/crashes.py
@@ -1,4 +1,4 @@
-"""What a node knows of requests that end targets, and what it refuses."""
+"""Tracking and refusal of requests that crash targets."""
 
 from collections.abc import Callable
 from sys import maxsize
@@ -25,24 +25,26 @@
 from hillfield.fleet.slots import rank_of
 from hillfield.model import RequestFailure
 
-# The rank of a node that knows of no fleet yet: it speaks for nothing.
+# Rank of a node that has not joined the fleet: it neither lets a trial run
+# nor writes to the store.
 UNRANKED: Final = maxsize
-SERVED: Final = 'answered by a target that lives on'
+SERVED: Final = 'answered by a target that kept running'
 SERVED_BEFORE: Final = 'answered a short while ago'
 
-NewsListener = Callable[[Findings], None]
+FindingsListener = Callable[[Findings], None]
 
 
-class CrashBook:
-    """Follow requests that end targets; each node decides for itself.
+class CrashTracker:
+    """Track requests that crash targets; each node decides by itself.
 
-    `on_news` is told of what was found here and all nodes have to know.
+    `on_findings` is called with findings of this node that are to be sent to
+    all other nodes.
     """
 
     def __init__(self, key: bytes, journal: Journal) -> None:
-        """Start knowing nothing; `key` is the cluster's."""
+        """Start without cases; `key` is the key of the cluster."""
         self.ledger = CrashLedger()
-        self.on_news: NewsListener = _tell_nobody
+        self.on_findings: FindingsListener = _ignore_findings
         self._printer = Fingerprinter(key)
         self._served = ServedRequests()
         self._journal = journal
@@ -51,15 +53,15 @@
         self._ranks: dict[bytes, int] = {}
 
     def join(self, core: Core) -> None:
-        """Take what the node knows of its fleet."""
+        """Set the source of this node's record and of the live members."""
         self._core = core
 
     def identify(self, likeness: Likeness) -> bytes:
         """Return the fingerprint of a request."""
         return self._printer.take(likeness)
 
-    def take_end(self, end: TargetEnd) -> None:
-        """Take the end of this host's target, and tell all of it."""
+    def record_exit(self, target_exit: TargetEnd) -> None:
+        """Record an exit of this host's target, and report it to all nodes."""
         now = monotonic()
         core = self._core
         gate = '' if core is None else core.own.record.name
@@ -67,46 +69,47 @@
             EndRow(
                 run.fingerprint,
                 gate,
-                end.number,
+                target_exit.number,
                 now - run.ended,
                 run.lasted,
             )
-            for run in end.runs
+            for run in target_exit.runs
         )
-        self.take(now, Findings(rows))
-        self.on_news(Findings(rows))
+        self.merge(now, Findings(rows))
+        self.on_findings(Findings(rows))
 
-    def note_served(self, fingerprint: bytes) -> None:
-        """Note that this host's target answered a request and lives on."""
+    def record_answered(self, fingerprint: bytes) -> None:
+        """Record that this host's target answered a request and kept running."""
         self._served.note(monotonic(), fingerprint)
         case = self.ledger.cases.get(fingerprint)
         if case is not None and case.ends:
             self.clear(fingerprint, SERVED)
 
     def clear(self, fingerprint: bytes, reason: str) -> bool:
-        """Find a request harmless, and tell all; False: it was not followed."""
+        """Mark a request as harmless at all nodes; False if it is unknown."""
         if not self.ledger.clear(monotonic(), fingerprint):
             return False
         detail = f'{fingerprint.hex()} {reason}'
         self._record(EventCode.CRASHING_REQUEST_CLEARED, detail)
-        self.on_news(Findings(clears=(ClearRow(fingerprint, 0),)))
+        self.on_findings(Findings(clears=(ClearRow(fingerprint, 0),)))
         return True
 
-    def take(self, now: float, told: Findings) -> None:
-        """Take in what another node, or the store, knows."""
-        for fingerprint in self.ledger.take(now, told):
+    def merge(self, now: float, received: Findings) -> None:
+        """Merge findings of another node or of the store."""
+        for fingerprint in self.ledger.take(now, received):
             case = self.ledger.cases[fingerprint]
             seen = ' '.join(f'{gate}/{number}' for gate, number in case.ends)
-            detail = f'{fingerprint.hex()} by ends at {seen}'
+            detail = f'{fingerprint.hex()} by exits at {seen}'
             self._record(EventCode.CRASHING_REQUEST_FOUND, detail)
             if self._served.knows(now, fingerprint):
                 self.clear(fingerprint, SERVED_BEFORE)
 
-    def find_rank(self, fingerprint: bytes) -> int:
+    def get_rank(self, fingerprint: bytes) -> int:
         """Return this node's rank among all for a request (rendezvous).
 
-        The first, 0, lets it run for a trial; the first two write it down. It
-        is asked for many times and changes only with the live nodes.
+        The node of rank 0 lets the request run for a trial; ranks 0 and 1
+        write it to the store. Ranks are cached, since they are read often and
+        change only with the set of live nodes.
         """
         core = self._core
         if core is None:
@@ -122,12 +125,12 @@
         return rank
 
     def list_others(self) -> list[NodeRecord]:
-        """Return the live nodes beside this one."""
+        """Return the live nodes other than this one."""
         core = self._core
         return [] if core is None else list_others(core)
 
     def is_near(self, other: NodeRecord) -> bool:
-        """Tell whether a node is of this one's failure domain."""
+        """Return whether a node is in the failure domain of this one."""
         core = self._core
         if core is None:
             return False
@@ -139,15 +142,15 @@
 
 
 class GateGuard:
-    """Implement `CrashGuard` beside a target: the last one to be asked."""
+    """Implement `CrashGuard` at the gate, the last check before a target."""
 
-    def __init__(self, book: CrashBook) -> None:
-        """Ask what this node knows."""
-        self._book = book
+    def __init__(self, tracker: CrashTracker) -> None:
+        """Decide by the cases of this node."""
+        self._tracker = tracker
 
     def identify(self, likeness: Likeness) -> bytes:
         """Return the fingerprint of a request."""
-        return self._book.identify(likeness)
+        return self._tracker.identify(likeness)
 
     def refuse(
         self,
@@ -155,13 +158,13 @@
         *,
         may_have_run: bool,
     ) -> RequestFailure | None:
-        """Return why a request is not sent to the target, if so."""
-        cases = self._book.ledger.cases
+        """Return why a request is refused; None if it may be sent."""
+        cases = self._tracker.ledger.cases
         case = cases.get(fingerprint) if cases else None
         if case is None or not case.harmful:
             return None
         now = monotonic()
-        if not case.holds(now) and self._may_pass(now, case):
+        if not case.holds(now) and self._is_allowed_trial(now, case):
             return None
         return describe_refusal(
             fingerprint,
@@ -170,29 +173,29 @@
             may_have_run=may_have_run,
         )
 
-    def _may_pass(self, now: float, case: Case) -> bool:
-        """Let a trial through that the node of its caller has allowed."""
+    def _is_allowed_trial(self, now: float, case: Case) -> bool:
+        """Accept a trial: the node of its caller has already allowed it."""
         return True
 
 
 class CallerGuard(GateGuard):
     """Implement `CrashGuard` where requests begin.
 
-    After the hold one node of the fleet lets the request run once: the next
-    release of the target may bear it.
+    When the refusal expires, one node of the fleet lets the request run once,
+    since a newer release of the target may no longer crash on it.
     """
 
-    def _may_pass(self, now: float, case: Case) -> bool:
-        if self._book.find_rank(case.fingerprint):
+    def _is_allowed_trial(self, now: float, case: Case) -> bool:
+        if self._tracker.get_rank(case.fingerprint):
             return False
         return case.may_try(now)
 
 
-def _tell_nobody(told: Findings) -> None:
-    """Tell nobody: the node has not joined others."""
+def _ignore_findings(received: Findings) -> None:
+    """Drop findings; no recipient is set yet."""
 
 
 def _rank_among(core: Core, request: str) -> int:
-    mine = rank_of(request, core.own.record.name)
+    own_rank = rank_of(request, core.own.record.name)
     ranks = (rank_of(request, other.name) for other in list_others(core))
-    return sum(rank < mine for rank in ranks)
+    return sum(rank < own_rank for rank in ranks)
--- a/hillfield/node/crashstore.py
+++ b/hillfield/node/crashstore.py
@@ -1,4 +1,4 @@
-"""Requests that end targets, kept in the store for a fleet that starts anew."""
+"""Persistence of crashing requests, for a restart of the whole fleet."""
 
 from asyncio import gather
 from typing import Final
@@ -11,84 +11,86 @@
 from hillfield.crashes import EndRow, Findings, StoredEnds
 from hillfield.crashes.cases import Case
 from hillfield.events import EventCode, Journal, Occurrence
-from hillfield.node.crashes import CrashBook
+from hillfield.node.crashes import CrashTracker
 from hillfield.store.paging import Span, read_span
 from hillfield.store.ports import Change, Store, StoredValue, StoreError
 from hillfield.timers import find_timer
 
 MILLISECONDS: Final = 1000
 PAGE: Final = 256
-# Requests that are written at one look: the store's calls are counted.
-AT_ONCE: Final = 8
-# Nodes that write each request: one may be cut off from the store, or end.
+# Requests written in one round, to bound the load on the store.
+CASES_PER_ROUND: Final = 8
+# Nodes that write each request; one of them may be partitioned from the store
+# or stop.
 WRITERS: Final = 2
-# Seconds after which what was read at the start is read once more.
-READ_AGAIN: Final = 2.5
-# Seconds between looks at what is to be written, and the longest pause after
-# calls that failed.
-LOOK_AGAIN: Final = 0.2
-LONGEST_PAUSE: Final = 8.0
+# Seconds from the first read of the store to the second one.
+SECOND_READ_AFTER: Final = 2.5
+# Seconds between checks for requests to write, and the longest backoff after
+# failed calls.
+CHECK_INTERVAL: Final = 0.2
+MAXIMUM_BACKOFF: Final = 8.0
 
 
-class CrashMemory:
-    """Keep in the store what all nodes refuse, one key a request.
+class CrashStorage:
+    """Keep the requests that all nodes refuse in the store, one key each.
 
-    Two nodes write it, once; all read it at their start. So nothing is
-    forgotten when all nodes that know of it end at one moment. Two calls are
-    made for a request that is found harmful, four for one that is harmless
-    again, and two cheap ones for a start.
+    Two nodes write each request once, and all nodes read them at their start,
+    so that they survive a simultaneous stop of all nodes. A request found
+    harmful costs two calls to the store, one found harmless again four, and
+    the start of a node two stale reads.
     """
 
     def __init__(
         self,
         cluster: str,
         store: Store,
-        book: CrashBook,
+        tracker: CrashTracker,
         journal: Journal,
     ) -> None:
-        """Do nothing yet."""
+        """Prepare; `run` reads and writes."""
         self._prefix = f'/hillfield/{cluster}/crashes/'
         self._store = store
-        self._book = book
+        self._tracker = tracker
         self._journal = journal
-        self._pause = LOOK_AGAIN
+        self._interval = CHECK_INTERVAL
 
     async def run(self) -> None:
-        """Read what is kept, then keep it up to date; until cancelled.
+        """Load the stored requests, then write changes until cancelled.
 
-        It is read twice: what is read at a tenth of the cost may be seconds
-        old, and what was written last before all nodes ended matters most.
+        They are loaded twice: a stale read costs a tenth of a consistent one
+        but may be seconds old, and the writes just before a stop of all nodes
+        matter most.
         """
-        while not await self.recall():
-            await self._wait(well=False)
-        again = monotonic() + READ_AGAIN
+        while not await self.load():
+            await self._wait(succeeded=False)
+        second_read = monotonic() + SECOND_READ_AFTER
         while True:
-            await self._wait(well=await self._keep())
-            if monotonic() >= again and await self.recall():
-                again = float('inf')
+            await self._wait(succeeded=await self._keep())
+            if monotonic() >= second_read and await self.load():
+                second_read = float('inf')
 
-    async def recall(self) -> bool:
-        """Take in what the store keeps; False: to be repeated."""
+    async def load(self) -> bool:
+        """Merge the stored requests; False if the read failed."""
         span = Span(self._prefix, stale=True)
         read = await read_span(self._store, span, PAGE)
         if read.is_error():
-            self._note(read.error)
+            self._record_failure(read.error)
             return False
         for stored in read.ok.entries:
-            self._take(stored)
+            self._merge_stored(stored)
         return True
 
     async def _keep(self) -> bool:
-        """Write or delete what is this node's to tell; False: a call failed."""
-        unsettled = [
+        """Write or delete the cases that this node owns; False on failure."""
+        unwritten = [
             case
-            for case in self._book.ledger.cases.values()
-            if not case.settled and self._writes(case)
+            for case in self._tracker.ledger.cases.values()
+            if not case.settled and self._is_writer(case)
         ]
-        done = await gather(*map(self._follow, unsettled[:AT_ONCE]))
+        done = await gather(*map(self._write_case, unwritten[:CASES_PER_ROUND]))
         return all(done)
 
-    async def _follow(self, case: Case) -> bool:
+    async def _write_case(self, case: Case) -> bool:
         harmful = case.harmful
         name = case.fingerprint.hex()
         key = f'{self._prefix}{name}'
@@ -100,13 +102,13 @@
         case.settled = done and case.harmful is harmful
         return done
 
-    def _writes(self, case: Case) -> bool:
-        return self._book.find_rank(case.fingerprint) < WRITERS
+    def _is_writer(self, case: Case) -> bool:
+        return self._tracker.get_rank(case.fingerprint) < WRITERS
 
     async def _delete(self, key: str) -> bool:
         found = await self._store.get(key)
         if found.is_error():
-            self._note(found.error)
+            self._record_failure(found.error)
             return False
         if found.ok is None:
             return True
@@ -115,29 +117,29 @@
     async def _change(self, change: Change) -> bool:
         swapped = await self._store.swap((change,))
         if swapped.is_error():
-            self._note(swapped.error)
+            self._record_failure(swapped.error)
             return False
-        # A conflict shows that another node has written it already.
+        # A conflict means that another node has already written the key.
         return True
 
-    def _take(self, stored: StoredValue) -> None:
+    def _merge_stored(self, stored: StoredValue) -> None:
         try:
             kept = decode(stored.payload, type=StoredEnds)
-        except MsgspecError as wrong:
-            self._record(f'{stored.key}: {wrong}')
+        except MsgspecError as malformed:
+            self._record(f'{stored.key}: {malformed}')
             return
-        passed = max(0, read_wall() - kept.written) / MILLISECONDS
-        ends = tuple(_age(row, passed) for row in kept.ends)
-        self._book.take(monotonic(), Findings(ends))
-        for row in ends:
-            self._book.ledger.settle(row.fingerprint)
-
-    async def _wait(self, *, well: bool) -> None:
-        longer = min(LONGEST_PAUSE, 2 * self._pause)
-        self._pause = LOOK_AGAIN if well else longer
-        await find_timer().pause(self._pause)
-
-    def _note(self, error: StoreError) -> None:
+        elapsed = max(0, read_wall() - kept.written) / MILLISECONDS
+        exits = tuple(_age(row, elapsed) for row in kept.ends)
+        self._tracker.merge(monotonic(), Findings(exits))
+        for row in exits:
+            self._tracker.ledger.settle(row.fingerprint)
+
+    async def _wait(self, *, succeeded: bool) -> None:
+        backoff = min(MAXIMUM_BACKOFF, 2 * self._interval)
+        self._interval = CHECK_INTERVAL if succeeded else backoff
+        await find_timer().pause(self._interval)
+
+    def _record_failure(self, error: StoreError) -> None:
         self._record(f'{error.step}: {error.detail}')
 
     def _record(self, detail: str) -> None:
--- a/hillfield/node/daemon.py
+++ b/hillfield/node/daemon.py
@@ -1,4 +1,4 @@
-"""The process around a node: loop and signals."""
+"""Event loop and signal handling of a node's process."""
 
 import asyncio
 import signal
@@ -10,18 +10,18 @@
 
 
 def run_made(make: Callable[[], Node]) -> NodeError | None:
-    """Run the node that `make` returns inside the loop, until a signal."""
+    """Run the node that `make` returns in a new loop, until a signal."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(_make_and_serve(make))
 
 
 async def serve_node(node: Node) -> NodeError | None:
-    """Start, wait for a signal, and leave without cutting anything off."""
+    """Start a node, wait for a signal, and stop it gracefully."""
     ended = asyncio.Event()
     loop = asyncio.get_running_loop()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, ended.set)
-    # Settings hold for the life of a process: a hangup must not end it.
+    # Settings are read only at the start; SIGHUP must not end the process.
     loop.add_signal_handler(signal.SIGHUP, _ignore_signal)
     started = await node.start()
     if started.is_error():
@@ -36,4 +36,4 @@
 
 
 def _ignore_signal() -> None:
-    """Go on with the settings that were read at the start."""
+    """Ignore the signal; settings are not reloaded."""
--- a/hillfield/node/datagrams.py
+++ b/hillfield/node/datagrams.py
@@ -9,29 +9,29 @@
 from hillfield.model import Address
 
 DATAGRAM_LIMIT: Final = 4096
-# Datagrams that are taken before the loop goes on with other work.
-TAKEN_AT_ONCE: Final = 64
-# What datagrams are counted as.
+# Datagrams read before control returns to the event loop.
+DATAGRAMS_PER_READ: Final = 64
+# Labels of the datagram counter.
 SENT: Final = 'sent'
 RECEIVED: Final = 'received'
 
 DatagramCounter = Callable[[str, int], None]
-# Takes a datagram and the IP number that it came from.
-DatagramTaker = Callable[[bytes, str], None]
+# Called with a datagram and the IP address of its sender.
+DatagramListener = Callable[[bytes, str], None]
 
 
 class DatagramSocket:
-    """Send and take datagrams at one port, the same on all hosts."""
+    """Send and receive datagrams at one port, the same on all hosts."""
 
-    def __init__(self, address: Address, take: DatagramTaker) -> None:
+    def __init__(self, address: Address, on_datagram: DatagramListener) -> None:
         """Prepare; nothing is opened before `start`."""
         self.counter: DatagramCounter = _count_nothing
         self._address = address
-        self._take = take
+        self._on_datagram = on_datagram
         self._socket: socket.socket | None = None
 
     def start(self) -> None:
-        """Open the socket; raises `OSError` when it can't be had."""
+        """Open the socket; raises `OSError` if it can't be bound."""
         opened = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         opened.setblocking(False)
         opened.bind((self._address.ip, self._address.port))
@@ -53,7 +53,7 @@
         hosts: Iterable[str],
         direction: str = SENT,
     ) -> None:
-        """Send one datagram to each host; what can't be sent is left out."""
+        """Send one datagram to each host; failed sends are dropped."""
         if self._socket is None:
             return
         for host in hosts:
@@ -62,17 +62,17 @@
                 self._socket.sendto(datagram, (host, self._address.port))
 
     def _receive(self) -> None:
-        for _ in range(TAKEN_AT_ONCE):
+        for _ in range(DATAGRAMS_PER_READ):
             if self._socket is None:
                 return
             try:
                 datagram, sender = self._socket.recvfrom(DATAGRAM_LIMIT)
             except OSError:
-                # Nothing is left; senders tell again what has been lost.
+                # No datagram is left; senders repeat lost ones.
                 return
             self.counter(RECEIVED, 1)
-            self._take(datagram, sender[0])
+            self._on_datagram(datagram, sender[0])
 
 
 def _count_nothing(direction: str, times: int) -> None:
-    """Count nothing: nobody asks."""
+    """Do nothing; the default counter."""
--- a/hillfield/node/direct.py
+++ b/hillfield/node/direct.py
@@ -1,4 +1,4 @@
-"""A node that reaches the targets of all hosts itself."""
+"""A node that connects directly to the targets of all hosts."""
 
 from collections.abc import Coroutine
 from functools import partial
@@ -10,7 +10,7 @@
 from hillfield.detection.board import HealthBoard
 from hillfield.fleet import Fleet
 from hillfield.node.daemon import run_made, serve_node
-from hillfield.node.desk import ServiceDesk
+from hillfield.node.dispatchers import DispatcherRegistry
 from hillfield.node.node import Node, NodeError
 from hillfield.node.parts import (
     Parts,
@@ -27,9 +27,9 @@
 
 
 class DirectNode(Node):
-    """Run one node of these settings.
+    """Run one node that connects directly to targets.
 
-    Only measurements pass a `table`, to compare other decisions.
+    `table` replaces the dispatchers in measurements that compare algorithms.
     """
 
     def __init__(
@@ -50,7 +50,7 @@
 
 
 def run_node(settings: NodeSettings) -> NodeError | None:
-    """Run a node until SIGTERM or SIGINT; return why it could not start."""
+    """Run a node until SIGTERM or SIGINT; return an error if it can't start."""
     return run_made(partial(DirectNode, settings))
 
 
@@ -58,7 +58,7 @@
     settings: NodeSettings,
     table: DispatcherTable | None = None,
 ) -> NodeError | None:
-    """Serve a node of these settings."""
+    """Run a node in the current loop until a signal."""
     return await serve_node(DirectNode(settings, table))
 
 
@@ -68,7 +68,7 @@
 ) -> Parts:
     """Build all parts; nothing is opened yet.
 
-    Only measurements pass a `table`, to compare other decisions.
+    `table` replaces the dispatchers in measurements that compare algorithms.
     """
     recording = open_recording(settings)
     journal = recording.journal
@@ -76,11 +76,11 @@
     configuration = ConfigurationView(replica, journal)
     if table is None:
         table = DispatcherTable(settings.locality, HealthBoard, Random())
-    desk = ServiceDesk(table, configuration)
+    dispatchers = DispatcherRegistry(table, configuration)
     proxy = ProxyServer(
         make_proxy_settings(settings),
         configuration,
-        desk,
+        dispatchers,
         journal,
         recording.metrics,
     )
@@ -93,7 +93,7 @@
         replica=replica,
         configuration=configuration,
         table=table,
-        desk=desk,
+        dispatchers=dispatchers,
         proxy=proxy,
         store=open_store(make_store_settings(settings), journal),
     )
--- a/hillfield/node/desk.py
+++ b/hillfield/node/dispatchers.py
@@ -14,21 +14,22 @@
 
 
 class PolicySource(Protocol):
-    """Say how the traffic of services is treated."""
+    """Provide the policies of services."""
 
     @property
     def generation(self) -> int:
-        """Return a number that grows when any policy changes."""
+        """Return a number that increases when any policy changes."""
 
     def policy(self, service: str) -> ServicePolicy | None:
-        """Return how a service's traffic is treated, if it is known."""
+        """Return the policy of a service, if it is known."""
 
 
-class ServiceDesk:
-    """Implement `Dispatchers`: services are set up at their first request.
+class DispatcherRegistry:
+    """Implement `Dispatchers`; create dispatchers at the first request.
 
-    A node decides only for the services that its callers ask for, so its
-    cost follows its own traffic and not the number of services of the fleet.
+    A node holds dispatchers only for the services that its callers request,
+    so its cost depends on its own traffic and not on the number of services
+    in the fleet.
     """
 
     def __init__(
@@ -39,7 +40,7 @@
         """Start without services."""
         self.table = table
         self._configuration = configuration
-        self._retire: Callable[[TargetId], None] = _retire_nothing
+        self._retire: Callable[[TargetId], None] = _ignore_retired
         self._targets: TargetView | None = None
         self._findings: FindingsView | None = None
         self._known: dict[str, frozenset[TargetId]] = {}
@@ -51,27 +52,27 @@
         findings: FindingsView,
         retire: Callable[[TargetId], None],
     ) -> None:
-        """Take the fleet's view; `retire` closes idle connections."""
+        """Set the fleet's views; `retire` closes idle connections to a target."""
         self._targets = targets
         self._findings = findings
         self._retire = retire
 
     def for_service(self, service: str) -> Dispatcher:
-        """Return the dispatcher of a service, set up when it is new."""
+        """Return the dispatcher of a service, created if it is missing."""
         if service not in self._known:
             self._set_up(service)
         return self.table.for_service(service)
 
-    def follow_configuration(self) -> None:
-        """Bring changed templates into force."""
+    def apply_configuration(self) -> None:
+        """Apply changed policies to all dispatchers."""
         if self._configuration.generation == self._generation:
             return
         self._generation = self._configuration.generation
         for service in self._known:
             self._adopt_policy(service)
 
-    def follow_targets(self, service: str, targets: tuple[Target, ...]) -> None:
-        """Bring a service's changed targets into force."""
+    def apply_targets(self, service: str, targets: tuple[Target, ...]) -> None:
+        """Apply a change of a service's targets."""
         if service not in self._known:
             return
         staying = frozenset(
@@ -84,21 +85,21 @@
         self._known[service] = staying
         self.table.adopt_targets(monotonic(), service, targets)
 
-    def follow_evidence(self, told: NodeEvidence) -> None:
-        """Take what another node tells of targets."""
+    def apply_evidence(self, received: NodeEvidence) -> None:
+        """Apply another node's evidence about targets."""
         self.table.adopt_evidence(
             monotonic(),
-            told.node,
-            told.domain,
-            told.evidence,
+            received.node,
+            received.domain,
+            received.evidence,
         )
 
-    def follow_report(
+    def apply_report(
         self,
         now: float,
         report: LoadReport,
     ) -> tuple[Verdict, ...]:
-        """Take what a gate tells; return verdicts for those that waited."""
+        """Apply a gate's load report; return decisions on waiting requests."""
         dispatcher = self.table.find(report.service)
         if dispatcher is None:
             return ()
@@ -109,10 +110,10 @@
         self._known[service] = frozenset()
         self._adopt_policy(service)
         if self._targets is not None:
-            self.follow_targets(service, self._targets.targets_of(service))
+            self.apply_targets(service, self._targets.targets_of(service))
         if self._findings is not None:
-            for told in self._findings.evidence():
-                self.follow_evidence(told)
+            for received in self._findings.evidence():
+                self.apply_evidence(received)
 
     def _adopt_policy(self, service: str) -> None:
         policy = self._configuration.policy(service)
@@ -120,5 +121,5 @@
             self.table.adopt_policy(monotonic(), policy)
 
 
-def _retire_nothing(target: TargetId) -> None:
-    """Do nothing: before the fleet is joined no target is known."""
+def _ignore_retired(target: TargetId) -> None:
+    """Do nothing; no target is known before the fleet is joined."""
--- a/hillfield/node/exchanges.py
+++ b/hillfield/node/exchanges.py
@@ -1,13 +1,13 @@
-"""Make what a gated node tells other nodes in datagrams."""
+"""Builders for the datagram exchanges of a gated node."""
 
 from random import Random
 
 from hillfield.events import Journal
 from hillfield.gate import Gate
-from hillfield.node.crashes import CrashBook
-from hillfield.node.crashnews import CrashExchange
-from hillfield.node.crashstore import CrashMemory
-from hillfield.node.ends import EndWatch
+from hillfield.node.crashes import CrashTracker
+from hillfield.node.crashexchange import CrashExchange
+from hillfield.node.crashstore import CrashStorage
+from hillfield.node.exits import ExitWatch
 from hillfield.node.fittings import Fittings
 from hillfield.node.parts import Parts
 from hillfield.node.quotas import QuotaExchange
@@ -16,25 +16,25 @@
 from hillfield.settings import NodeSettings
 
 
-def make_reporting(
+def build_load_reporting(
     parts: Parts,
     fittings: Fittings,
     gate: Gate,
 ) -> LoadReporting:
-    """Return what tells others of the room at this host's target."""
+    """Return the reporter of the capacity of this host's target."""
     reporting = LoadReporting(
         fittings.reports,
         parts.settings.cluster_key.encode(),
         gate,
-        parts.desk.follow_report,
+        parts.dispatchers.apply_report,
         parts.proxy.deliver,
     )
     reporting.socket.counter = parts.metrics.note_datagrams
     return reporting
 
 
-def make_quotas(parts: Parts, fittings: Fittings) -> QuotaExchange:
-    """Return what holds the limits of accounts, asked by the planner."""
+def build_quota_exchange(parts: Parts, fittings: Fittings) -> QuotaExchange:
+    """Return the enforcement of account limits, set at the planner."""
     quotas = QuotaExchange(
         fittings.quotas,
         parts.settings.cluster_key.encode(),
@@ -45,20 +45,20 @@
     return quotas
 
 
-def make_crashes(
+def build_crash_exchange(
     settings: NodeSettings,
     fittings: Fittings,
     journal: Journal,
 ) -> CrashExchange:
-    """Return what knows requests again that end targets."""
+    """Return the exchange of findings on crashing requests."""
     key = settings.cluster_key.encode()
-    book = CrashBook(key, journal)
-    return CrashExchange(fittings.crashes, key, Random(), book)
+    tracker = CrashTracker(key, journal)
+    return CrashExchange(fittings.crashes, key, Random(), tracker)
 
 
-def make_crash_memory(parts: Parts, crashes: CrashExchange) -> CrashMemory:
-    """Return what keeps such requests in the store."""
-    return CrashMemory(
+def build_crash_storage(parts: Parts, crashes: CrashExchange) -> CrashStorage:
+    """Return the persistence of crashing requests in the store."""
+    return CrashStorage(
         parts.settings.cluster,
         parts.store,
         crashes.book,
@@ -66,11 +66,11 @@
     )
 
 
-def make_end_watch(
+def build_exit_watch(
     gate: Gate,
     hops: ProxyServer,
     crashes: CrashExchange,
-) -> EndWatch:
-    """Return what tells when this host's target has ended."""
-    gate.on_served = crashes.book.note_served
-    return EndWatch(gate, hops.pool, crashes.book.take_end)
+) -> ExitWatch:
+    """Return the watch for exits of this host's target."""
+    gate.on_served = crashes.book.record_answered
+    return ExitWatch(gate, hops.pool, crashes.book.record_exit)
--- a/hillfield/node/explaining.py
+++ b/hillfield/node/explaining.py
@@ -1,4 +1,4 @@
-"""Explanations of a service as operators read them."""
+"""Pages for operators that explain the state of a service."""
 
 from msgspec.structs import replace
 
@@ -15,13 +15,13 @@
     targets: tuple[Target, ...],
     now: float,
 ) -> ServicePage:
-    """Merge what detection and routing know of each target.
+    """Merge the state of detection and routing for each target.
 
-    Slots are counted over the targets that this node decides on: at a large
-    fleet these are some of the service's, chosen by the node.
+    Slots are counted over the targets in this node's subset: in a large fleet
+    a node uses only some of the targets of a service.
     """
     loads = {load.target: load for load in routing.loads}
-    rates = {room.target: room.rate for room in routing.rooms}
+    rates = {capacity.target: capacity.rate for capacity in routing.rooms}
     reports = tuple(
         replace(
             make_report(health, loads.get(str(health.target)), now),
@@ -47,7 +47,7 @@
     load: LoadExplanation | None,
     now: float,
 ) -> TargetReport:
-    """Merge what is known of one target."""
+    """Merge the state of one target."""
     if load is None:
         load = LoadExplanation(str(health.target), False, 0, 0, 0, 0, False)
     return TargetReport(
@@ -66,7 +66,7 @@
 
 
 def count_slots(targets: tuple[Target, ...], wanted: set[str]) -> int:
-    """Return the slots of the wanted; a draining target has none to offer."""
+    """Return the slots of the wanted targets, without draining ones."""
     return sum(
         target.slots
         for target in targets
--- a/hillfield/node/fittings.py
+++ b/hillfield/node/fittings.py
@@ -1,4 +1,4 @@
-"""What an adapter brings to a node for a platform."""
+"""Parts of a node that a platform's adapter provides."""
 
 from collections.abc import Callable
 from random import Random
@@ -12,7 +12,7 @@
 from hillfield.gate.seating import Seating
 from hillfield.hostroutes import HostPlanner
 from hillfield.model import Address, AnswerChecks
-from hillfield.node.desk import ServiceDesk
+from hillfield.node.dispatchers import DispatcherRegistry
 from hillfield.node.page import NodePage
 from hillfield.node.parts import Parts, Recording
 from hillfield.proxy import ProxyServer, ProxySettings, RequestMeter
@@ -23,24 +23,23 @@
 
 
 class Listening(Protocol):
-    """Listen on an address of its own while the node runs."""
+    """Listen on a separate address while the node runs."""
 
     def start(self) -> None:
-        """Open the socket; raises `OSError` when it can't be had."""
+        """Open the socket; raises `OSError` if it can't be bound."""
 
     async def stop(self) -> None:
-        """Close it."""
+        """Close the socket."""
 
 
 class Fittings(Struct, frozen=True):
-    """Hold what an adapter brings for a platform.
+    """Hold the parts that a platform's adapter provides.
 
-    `callers` and `hops` are the settings of the two servers, `checks` tell a
-    wrong answer of the target, `reports` is where load reports come in
-    (datagrams, the same port on all hosts), `quotas` where those of accounts'
-    requests do and `crashes` where those of requests that end targets do,
-    `relay` how the store is followed,
-    `make_listeners` what else listens.
+    `callers` and `hops` are the settings of the two servers, `checks` detect
+    wrong answers of the target. `reports`, `quotas` and `crashes` are the
+    addresses for datagrams with load reports, usage of accounts and findings
+    on crashing requests (the same ports on all hosts). `relay` sets how the
+    store is watched, `make_listeners` builds further listeners.
     """
 
     planner: HostPlanner
@@ -55,7 +54,7 @@
     make_listeners: Callable[[Seating, NodePage], tuple[Listening, ...]]
 
 
-def make_gated_parts(
+def build_gated_parts(
     settings: NodeSettings,
     recording: Recording,
     fittings: Fittings,
@@ -64,13 +63,13 @@
 ) -> Parts:
     """Build all parts of a gated node; nothing is opened yet.
 
-    `meter` is told of the requests of this host's callers, `guard` knows those
-    that end targets.
+    `meter` counts the requests of this host's callers, `guard` refuses
+    requests that crash targets.
     """
     planner = fittings.planner
     journal = recording.journal
     table = DispatcherTable(settings.locality, PathBoard, Random())
-    desk = ServiceDesk(table, planner)
+    dispatchers = DispatcherRegistry(table, planner)
     return Parts(
         settings=settings,
         timeline=recording.timeline,
@@ -80,11 +79,11 @@
         replica=planner,
         configuration=planner,
         table=table,
-        desk=desk,
+        dispatchers=dispatchers,
         proxy=ProxyServer(
             fittings.callers,
             planner,
-            desk,
+            dispatchers,
             journal,
             meter,
             guard,
--- a/hillfield/node/gated.py
+++ b/hillfield/node/gated.py
@@ -1,4 +1,4 @@
-"""A node whose targets are reached only through the node beside them."""
+"""A node that reaches each target through the gate on the target's host."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -16,56 +16,59 @@
 from hillfield.model import Address
 from hillfield.node.calls import CallMeter
 from hillfield.node.exchanges import (
-    make_crash_memory,
-    make_crashes,
-    make_end_watch,
-    make_quotas,
-    make_reporting,
+    build_crash_storage,
+    build_crash_exchange,
+    build_exit_watch,
+    build_quota_exchange,
+    build_load_reporting,
 )
-from hillfield.node.fittings import Fittings, make_gated_parts
+from hillfield.node.fittings import Fittings, build_gated_parts
 from hillfield.node.node import Node, NodeError
 from hillfield.node.parts import Recording
 from hillfield.proxy import ProxyServer
 from hillfield.settings import NodeSettings
 from hillfield.timers import Appointment, find_timer
 
-# Seconds between looks at who waits at the gate.
+# Seconds between checks of the requests that wait at the gate.
 GATE_TICK: Final = 0.1
-# Seconds between looks at what is due in the fleet and at who waits here: on
-# a small host each wake-up is paid for.
-CALM_TICK: Final = 0.2
-# Seconds for which a gate that is to stop still takes work: most of it ends
-# within what is left of the 6 s until the process is killed. While hosts are
-# restarted one a second it gives back 1.4 of some 5 s without their target.
-STAYING: Final = 1.4
-# Seconds in which the fleet hears that this host's target gets no more.
-FAREWELL: Final = 0.5
-# Seconds after which no caller comes any more: it is asked once a second
-# whether the node is ready, and two answers must be missed.
+# Seconds between checks of timers of the fleet and of waiting requests; on a
+# small host each wake-up costs processor time that requests need.
+FLEET_TICK: Final = 0.2
+# Seconds for which a stopping gate still accepts work; most of it finishes
+# within the rest of the 6 s until the process is killed. When hosts restart at
+# one per second, this saves 1.4 of some 5 s without their target.
+SERVE_WHILE_STOPPING: Final = 1.4
+# Seconds for the fleet to receive the update that the target drains.
+DRAINING_ANNOUNCEMENT: Final = 0.5
+# Seconds after which callers send no more requests: readiness is probed once a
+# second, and two probes must fail.
 OUT_OF_SIGHT: Final = 2.4
-# A node publishes its target's first heartbeat at once: it holds no other.
-SETTLE: Final[float] = 0
-# Links that a node keeps up by itself: fewer means fewer copies of news.
-DIALLED: Final = 2
-# Seconds between heartbeats of links, and of silence after which a neighbour
-# counts as lost: a change is to be in force in 2 s, also where neighbours
-# were killed at the same moment.
+# A node publishes its target at the first heartbeat: it has no other target to
+# wait for.
+SETTLE_SECONDS: Final[float] = 0
+# Links that a node dials itself; fewer links mean fewer copies of each update.
+DIALLED_LINKS: Final = 2
+# Seconds between heartbeats of links, and of silence after which a peer counts
+# as lost: a change must be in force within 2 s, even if peers are killed at the
+# same moment.
 HEARTBEAT: Final = 0.5
 SUSPECT_AFTER: Final = 1.5
-# Seconds after which a configuration that a peer has told of and not sent is
-# asked of another: it may have been killed. A peer answers in 20 ms.
+# Seconds after which a configuration entry that a peer offered but did not send
+# is requested from another peer, since the first may have been killed. A peer
+# normally answers in 20 ms.
 PULL_AGAIN: Final = 0.4
-# Seconds for which news for another failure domain is gathered, so that
-# several records of one node go across as one. A target's leaving binds at
-# its gate, so nothing hangs on it. With 0.6 s and a domain's own news only,
-# 20 restarts of 21 nodes tell 0.37 MB across, before 1.06 MB (modelled).
-DEAR_FLUSH: Final = 0.6
+# Seconds for which updates for another failure domain are batched, so that
+# several updates of one node are sent as one. A target's draining takes effect
+# at its gate, so the delay does no harm. With 0.6 s and only a failure domain's
+# own updates, 20 restarts of 21 nodes send 0.37 MB to other failure domains
+# instead of 1.06 MB (modelled).
+CROSS_DOMAIN_FLUSH: Final = 0.6
 
 
 class GatedNode(Node):
-    """Serve callers here, and hand other nodes' requests to the target."""
+    """Serve local callers, and forward other nodes' requests to the target."""
 
-    tick = CALM_TICK
+    tick = FLEET_TICK
 
     def __init__(
         self,
@@ -76,8 +79,10 @@
         """Build the parts; nothing is opened before `start`."""
         self.gate = Gate(recording.journal)
         meter = CallMeter(recording.metrics, self.gate.calls)
-        self.crashes = make_crashes(settings, fittings, recording.journal)
-        parts = make_gated_parts(
+        self.crashes = build_crash_exchange(
+            settings, fittings, recording.journal
+        )
+        parts = build_gated_parts(
             settings,
             recording,
             fittings,
@@ -95,9 +100,9 @@
             recording.journal,
             guard=self.crashes.at_gate,
         )
-        self._ends = make_end_watch(self.gate, self._hops, self.crashes)
-        self._reporting = make_reporting(parts, fittings, self.gate)
-        self._quotas = make_quotas(parts, fittings)
+        self._exit_watch = build_exit_watch(self.gate, self._hops, self.crashes)
+        self._reporting = build_load_reporting(parts, fittings, self.gate)
+        self._quotas = build_quota_exchange(parts, fittings)
         self._listeners = (
             *fittings.make_listeners(self.seating, self.page),
             self._reporting,
@@ -108,7 +113,7 @@
         fittings.planner.listener = self._adopt_table
 
     async def abandon(self) -> None:
-        """End at once, as a crash does: nothing is finished or told."""
+        """Stop at once, as in a crash; nothing is finished or announced."""
         self._stop_ticking()
         self._hops.abandon()
         await super().abandon()
@@ -131,14 +136,14 @@
     def _make_fleet_settings(self, control: Address) -> FleetSettings:
         return replace(
             super()._make_fleet_settings(control),
-            settle=SETTLE,
+            settle=SETTLE_SECONDS,
             sparse=True,
-            tick=CALM_TICK,
-            dialled_links=DIALLED,
+            tick=FLEET_TICK,
+            dialled_links=DIALLED_LINKS,
             pull_again=PULL_AGAIN,
             heartbeat=HEARTBEAT,
             suspect_after=SUSPECT_AFTER,
-            dear_flush_after=DEAR_FLUSH,
+            dear_flush_after=CROSS_DOMAIN_FLUSH,
         )
 
     def _list_work(
@@ -148,7 +153,7 @@
         self._reporting.join(fleet.state.core)
         self._quotas.join(fleet.state.core)
         self.crashes.book.join(fleet.state.core)
-        self.page.book = self.crashes.book
+        self.page.crash_tracker = self.crashes.book
         relay = OpenRelay(
             fleet,
             self.parts.store,
@@ -156,25 +161,27 @@
             Random(),
             self.parts.journal,
         )
-        memory = make_crash_memory(self.parts, self.crashes)
+        memory = build_crash_storage(self.parts, self.crashes)
         return relay.run(), memory.run()
 
     async def _drain(self) -> None:
-        # The store is followed by others from now on.
+        # Other nodes watch the store from now on.
         for task in self._tasks:
             task.cancel()
-        await asyncio.sleep(STAYING)
+        await asyncio.sleep(SERVE_WHILE_STOPPING)
         if self.ticker is not None:
             self.ticker.withdraw_targets()
-        await asyncio.sleep(FAREWELL)
+        await asyncio.sleep(DRAINING_ANNOUNCEMENT)
         self.gate.closing = True
-        await asyncio.sleep(OUT_OF_SIGHT - STAYING - FAREWELL)
+        await asyncio.sleep(
+            OUT_OF_SIGHT - SERVE_WHILE_STOPPING - DRAINING_ANNOUNCEMENT
+        )
         await asyncio.gather(self.parts.proxy.drain(), self._hops.drain())
         self._stop_ticking()
         await self._stop_listeners()
 
     def _stop_ticking(self) -> None:
-        self._ends.stop()
+        self._exit_watch.stop()
         if self._gate_ticking is not None:
             self._gate_ticking.cancel()
 
@@ -185,7 +192,7 @@
 
     def _tick_gate(self) -> None:
         now = monotonic()
-        self.watch.look(now)
+        self.watch.check(now)
         self.seating.follow_expiry(now)
         self._hops.deliver(self.gate.poll(now))
 
--- a/hillfield/node/journal.py
+++ b/hillfield/node/journal.py
@@ -1,4 +1,4 @@
-"""A journal that counts what it passes on to the time line."""
+"""A journal that counts events before it forwards them."""
 
 from typing import Final
 
@@ -10,15 +10,15 @@
 
 
 class CountingJournal:
-    """Pass events on; count decisions on targets for the metrics."""
+    """Forward events; count decisions and refusals for the metrics."""
 
     def __init__(self, journal: Journal, metrics: NodeMetrics) -> None:
-        """Pass events on to another journal."""
+        """Forward events to `journal`."""
         self._journal = journal
         self._metrics = metrics
 
     def record(self, occurrence: Occurrence) -> None:
-        """Count and pass on an event."""
+        """Count and forward an event."""
         if is_decision(occurrence.code):
             kind = occurrence.code.name.lower()
             self._metrics.note_decision(occurrence.service, kind)
@@ -28,5 +28,5 @@
 
 
 def is_decision(code: EventCode) -> bool:
-    """Tell whether an event records a decision."""
+    """Return whether an event records a decision on a target."""
     return FIRST_DECISION <= code < FIRST_AFTER_DECISIONS
--- a/hillfield/node/lateness.py
+++ b/hillfield/node/lateness.py
@@ -1,7 +1,7 @@
-"""How long a node did not look at what had come for it, and what follows.
+"""Detection of pauses of a node's event loop.
 
-A process that is busy, or has no processor, reads nothing meanwhile: what
-others sent lies unread, and who seems silent may have spoken.
+A process that is busy or gets no processor time reads nothing meanwhile, so a
+target or peer that seems silent may have sent messages that are not read yet.
 """
 
 from collections.abc import Callable
@@ -14,59 +14,60 @@
 from hillfield.routing import DispatcherTable
 from hillfield.timers import STEP
 
-# Seconds of lateness that are recorded: at most three lines a second.
+# Least lateness in seconds that is logged: at most three lines a second.
 RECORDED: Final = 0.3
 
-# Is told the present moment, and for how many seconds nothing was read.
+# Called with the present time and the seconds in which nothing was read.
 LatenessListener = Callable[[float, float], None]
 
 
 class Lateness:
-    """Follow looks that are due each `period` seconds, or more often.
+    """Measure the lateness of checks due every `period` seconds or less.
 
     >>> lateness = Lateness(0.1)
-    >>> lateness.look(5.0), lateness.look(5.1), lateness.look(5.12)
+    >>> lateness.check(5.0), lateness.check(5.1), lateness.check(5.12)
     (0.0, 0.0, 0.0)
-    >>> round(lateness.look(6.02), 3)
+    >>> round(lateness.check(6.02), 3)
     0.8
     """
 
     def __init__(self, period: float) -> None:
-        """Start without a look."""
+        """Start without a check."""
         self._period = period
-        self._looked: float | None = None
+        self._checked: float | None = None
 
-    def look(self, now: float) -> float:
-        """Return by how many seconds this look is late; 0: it is in time."""
-        looked = self._looked
-        self._looked = now
-        if looked is None:
+    def check(self, now: float) -> float:
+        """Return by how many seconds this check is late; 0 if it is in time."""
+        checked = self._checked
+        self._checked = now
+        if checked is None:
             return float()
-        late = now - looked - self._period
+        late = now - checked - self._period
         return late if late > TOLERATED else float()
 
 
 class LoopWatch:
-    """Notice when the node's loop was late, and tell it before it judges.
+    """Detect pauses of the node's loop before decisions based on time.
 
-    Whoever judges by the clock calls `look` first, each `STEP` or more often;
-    `listeners` are told, so that what lay unread counts as no silence.
+    Code that decides by the clock calls `check` first, at least every `STEP`
+    seconds; `listeners` are called with the pause, so that they do not count
+    it as silence of others.
     """
 
     def __init__(self, journal: Journal, metrics: NodeMetrics) -> None:
-        """Start without a look."""
+        """Start without a check."""
         self.listeners: list[LatenessListener] = []
         self._journal = journal
         self._metrics = metrics
         self._lateness = Lateness(STEP)
         self._worked = process_time()
 
-    def look(self, now: float) -> None:
-        """Take the moment, in monotonic seconds."""
+    def check(self, now: float) -> None:
+        """Check for a pause; `now` is in monotonic seconds."""
         worked = process_time()
         work = worked - self._worked
         self._worked = worked
-        late = self._lateness.look(now)
+        late = self._lateness.check(now)
         if not late:
             return
         self._metrics.note_late(late)
@@ -79,13 +80,13 @@
         self._journal.record(
             Occurrence(
                 EventCode.LOOP_LATE,
-                detail=f'{late:.2f} s late, {work:.2f} s of them at work',
+                detail=f'{late:.2f} s late, {work:.2f} s of processor time',
             ),
         )
 
 
-def excuse_targets(table: DispatcherTable, now: float, seconds: float) -> None:
-    """Hold no silence of the last seconds against targets, of any service."""
+def discount_pause(table: DispatcherTable, now: float, seconds: float) -> None:
+    """Ignore the silence of all targets in the last `seconds`."""
     for service in table.services():
         dispatcher = table.find(service)
         if dispatcher is not None:
--- a/hillfield/node/loadview.py
+++ b/hillfield/node/loadview.py
@@ -1,4 +1,4 @@
-"""Show operators what this node knows of its services' room."""
+"""Pages for operators on the capacity of services."""
 
 from collections.abc import Iterable
 from typing import Final
@@ -8,11 +8,11 @@
 from hillfield.routing import DispatcherTable, RoutingExplanation
 from hillfield.routing.roomviews import RoomExplanation
 
-HELD_BACK: Final = ('usual', 'all')
+WITHHELD: Final = ('usual', 'all')
 
 
 def list_loads(table: DispatcherTable) -> tuple[ServiceLoad, ...]:
-    """Return what is known of each service, by name."""
+    """Return the load of each service, sorted by name."""
     now = monotonic()
     found = map(table.find, sorted(table.services()))
     return tuple(
@@ -26,12 +26,12 @@
     """Sum up one service by failure domain.
 
     >>> from hillfield.routing.roomviews import RoomExplanation
-    >>> room = RoomExplanation('t', 'a', 6, 1, 2, 0, 'nothing', 0.5)
-    >>> sum_up('a', [room, room]).free
+    >>> capacity = RoomExplanation('t', 'a', 6, 1, 2, 0, 'nothing', 0.5)
+    >>> sum_up('a', [capacity, capacity]).free
     4
     """
-    rooms = routing.rooms
-    domains = sorted({room.domain for room in rooms})
+    capacities = routing.rooms
+    domains = sorted({capacity.domain for capacity in capacities})
     return ServiceLoad(
         routing.service,
         routing.queued,
@@ -40,26 +40,33 @@
         routing.refused,
         routing.retries,
         routing.unknown,
-        max(0, len(routing.loads) - len(rooms)),
+        max(0, len(routing.loads) - len(capacities)),
         tuple(
-            sum_up(name, [room for room in rooms if room.domain == name])
+            sum_up(
+                name,
+                [
+                    capacity
+                    for capacity in capacities
+                    if capacity.domain == name
+                ],
+            )
             for name in domains
         ),
     )
 
 
-def sum_up(domain: str, rooms: Iterable[RoomExplanation]) -> DomainLoad:
+def sum_up(domain: str, capacities: Iterable[RoomExplanation]) -> DomainLoad:
     """Return the sums over the targets of one failure domain."""
-    listed = tuple(rooms)
-    rates = [room.rate for room in listed if room.rate is not None]
+    listed = tuple(capacities)
+    rates = [capacity.rate for capacity in listed if capacity.rate is not None]
     return DomainLoad(
         domain,
         len(listed),
-        sum(room.slots for room in listed),
-        sum(room.free for room in listed),
-        sum(room.waiting for room in listed),
-        sum(room.held in HELD_BACK for room in listed),
-        max((room.age for room in listed), default=0),
+        sum(capacity.slots for capacity in listed),
+        sum(capacity.free for capacity in listed),
+        sum(capacity.waiting for capacity in listed),
+        sum(capacity.held in WITHHELD for capacity in listed),
+        max((capacity.age for capacity in listed), default=0),
         len(rates),
         sum(rates),
     )
--- a/hillfield/node/node.py
+++ b/hillfield/node/node.py
@@ -1,4 +1,4 @@
-"""One node: its parts, started and stopped in order."""
+"""Start and stop of a node and its parts."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -13,7 +13,7 @@
 from hillfield.events import EventCode, Occurrence
 from hillfield.fleet import Fleet, FleetListeners, FleetSettings
 from hillfield.model import Address
-from hillfield.node.lateness import LoopWatch, excuse_targets
+from hillfield.node.lateness import LoopWatch, discount_pause
 from hillfield.node.page import NodePage
 from hillfield.node.parts import Parts
 from hillfield.node.reading import NodeGauges
@@ -22,12 +22,13 @@
 from hillfield.settings import NodeSettings
 from hillfield.timers import Appointment, find_timer
 
-# Time for a relay to give its slot up, so that others need not wait for it.
+# Seconds for a store relay to release its slot, so that other nodes need not
+# wait until its lease expires.
 STOP_BOUND: Final = 2.0
 
 
 class NodeError(Struct, frozen=True):
-    """Say at which step and address a node could not start."""
+    """Hold the step and address at which the start of a node failed."""
 
     step: str
     peer: str
@@ -44,13 +45,13 @@
         settings: NodeSettings,
         parts: Parts,
     ) -> None:
-        """Take the parts; nothing is opened before `start`."""
+        """Connect the parts; nothing is opened before `start`."""
         self.parts = parts
         self.page = NodePage(self.parts)
         self.watch = LoopWatch(parts.journal, parts.metrics)
         self.watch.listeners += (
             parts.registry.excuse,
-            partial(excuse_targets, parts.table),
+            partial(discount_pause, parts.table),
         )
         ports = ControlPorts(
             registry=self.parts.registry,
@@ -65,11 +66,11 @@
 
     @property
     def fleet(self) -> Fleet:
-        """Return this node's share of the fleet, once started."""
+        """Return this node's fleet, once started."""
         return self.page.joined
 
     async def start(self) -> Result[Address, NodeError]:
-        """Open all sockets; return the address for callers."""
+        """Open all sockets; return the address that callers connect to."""
         listening = self._listen()
         if listening.is_error():
             return Error(listening.error)
@@ -80,12 +81,12 @@
             failure = opened.error
             return Error(NodeError('listen', failure.peer, failure.detail))
         self._join(fleet)
-        self._note_started(control, opened.ok)
+        self._record_start(control, opened.ok)
         freeze_startup_memory()
         return Ok(self.parts.proxy.address)
 
     async def stop(self) -> None:
-        """Finish what is in flight, say goodbye and close everything."""
+        """Finish requests in flight, announce leaving, and close all sockets."""
         self.parts.journal.record(Occurrence(EventCode.NODE_DRAINING))
         self.page.leaving = True
         await self._drain()
@@ -99,7 +100,7 @@
         self.parts.journal.record(Occurrence(EventCode.NODE_STOPPED))
 
     async def abandon(self) -> None:
-        """End at once, as a crash does: nothing is finished or told."""
+        """Stop at once, as in a crash; nothing is finished or announced."""
         if self._ticking is not None:
             self._ticking.cancel()
         for task in self._tasks:
@@ -122,7 +123,7 @@
         except OSError as refused:
             return Error(NodeError('listen', str(listen.control), str(refused)))
 
-    def _note_started(self, control: Address, links: Address) -> None:
+    def _record_start(self, control: Address, links: Address) -> None:
         callers = self.parts.proxy.address
         detail = f'callers {callers}, control {control}, links {links}'
         self.parts.journal.record(
@@ -130,14 +131,14 @@
         )
 
     def _make_fleet(self, control: Address) -> Fleet:
-        desk = self.parts.desk
+        dispatchers = self.parts.dispatchers
         return Fleet(
             self._make_fleet_settings(control),
             self.parts.replica,
             FleetListeners(
-                targets_changed=desk.follow_targets,
-                evidence_changed=desk.follow_evidence,
-                entry_adopted=self.page.note_adopted,
+                targets_changed=dispatchers.apply_targets,
+                evidence_changed=dispatchers.apply_evidence,
+                entry_adopted=self.page.record_adoption,
             ),
             self.parts.journal,
             self.parts.timeline,
@@ -162,7 +163,7 @@
         core = fleet.state.core
         parts = self.parts
         self.page.join(fleet)
-        parts.desk.connect(core.view, core.findings, parts.proxy.retire)
+        parts.dispatchers.connect(core.view, core.findings, parts.proxy.retire)
         parts.metrics.watch(NodeGauges(parts, self.page))
         self.ticker = Ticker(parts, fleet, self.watch)
         self._ticking = find_timer().every(self.tick, self.ticker.tick)
@@ -174,5 +175,5 @@
         self,
         fleet: Fleet,
     ) -> tuple[Coroutine[None, None, None], ...]:
-        """Return what runs beside the ticks until the node stops."""
+        """Return the coroutines that run until the node stops."""
         raise NotImplementedError
--- a/hillfield/node/page.py
+++ b/hillfield/node/page.py
@@ -1,4 +1,4 @@
-"""What a node shows of itself over its control address."""
+"""The state of a node as shown at its control address."""
 
 from time import time
 from typing import Final
@@ -27,7 +27,7 @@
     """Implement `NodeView` over a node's parts."""
 
     def __init__(self, parts: Parts) -> None:
-        """Show a node that hasn't joined its fleet yet."""
+        """Start as a node that has not joined its fleet yet."""
         super().__init__()
         self.leaving = False
         self.adopted_at = time()
@@ -36,26 +36,26 @@
 
     @property
     def joined(self) -> Fleet:
-        """Return the fleet; an error before the node has started."""
+        """Return the fleet; raises `RuntimeError` before the node has started."""
         if self._fleet is None:
             raise RuntimeError('the node has not started')
         return self._fleet
 
     @property
     def core(self) -> Core:
-        """Return what the node knows of its fleet."""
+        """Return this node's state of the fleet."""
         return self.joined.state.core
 
     def join(self, fleet: Fleet) -> None:
-        """Take the fleet that the node has joined."""
+        """Set the fleet that the node has joined."""
         self._fleet = fleet
 
-    def note_adopted(self, entry: Entry) -> None:
-        """Note that an entry has come into force."""
+    def record_adoption(self, entry: Entry) -> None:
+        """Record the time at which an entry came into force."""
         self.adopted_at = time()
 
     def read_readiness(self) -> Readiness:
-        """Tell whether the node takes work, and if not, why."""
+        """Return whether the node accepts requests, and if not, why."""
         if self._fleet is None:
             return Readiness(ready=False, reasons=('starting',))
         if self.leaving:
@@ -66,13 +66,13 @@
         return Readiness(ready=True)
 
     def explain(self, service: str) -> ServicePage | None:
-        """Explain a service; None when it isn't known here."""
+        """Return the page of a service; None if it is unknown."""
         policy = self._parts.configuration.policy(service)
         known = service in self.core.view.services
         if policy is None and not known:
             return None
         now = monotonic()
-        dispatcher = self._parts.desk.for_service(service)
+        dispatcher = self._parts.dispatchers.for_service(service)
         return make_service_page(
             self._parts.settings.name,
             policy,
@@ -88,11 +88,11 @@
         return tuple(sorted({*configured, *announced}))
 
     def list_loads(self) -> tuple[ServiceLoad, ...]:
-        """Return what is known of the room of each service asked for."""
+        """Return the load of each service that callers here have requested."""
         return list_loads(self._parts.table)
 
     def list_targets(self) -> tuple[Target, ...]:
-        """Return all targets of the fleet that are known here."""
+        """Return all known targets of the fleet."""
         return self.core.view.targets()
 
     def read_configuration(self) -> ConfigurationPage:
@@ -118,7 +118,7 @@
 
 
 def make_member_page(record: NodeRecord, *, alive: bool) -> MemberPage:
-    """Show one node's record."""
+    """Return the page of one node."""
     return MemberPage(
         node=record.name,
         alive=alive,
--- a/hillfield/node/parts.py
+++ b/hillfield/node/parts.py
@@ -9,7 +9,7 @@
 from hillfield.events import Timeline
 from hillfield.fleet import EntryStore
 from hillfield.metrics import NodeMetrics
-from hillfield.node.desk import PolicySource, ServiceDesk
+from hillfield.node.dispatchers import PolicySource, DispatcherRegistry
 from hillfield.node.journal import CountingJournal
 from hillfield.proxy import PlanSource, ProxyServer, ProxySettings
 from hillfield.routing import DispatcherTable
@@ -24,21 +24,21 @@
     """Hold the configuration's entries."""
 
     def digest(self) -> Digest:
-        """Sum up what is held."""
+        """Return a digest of the entries."""
 
     def mark_complete(self) -> None:
-        """Note that all entries of the store have come."""
+        """Record that all entries of the store have been received."""
 
 
 class ConfigurationSource(PlanSource, PolicySource, Protocol):
-    """Show the configuration in force."""
+    """Provide the configuration in force."""
 
     def services(self) -> tuple[str, ...]:
         """Return the services that are configured, sorted."""
 
 
 class Recording(Struct, frozen=True):
-    """Hold where a node's events and counts go."""
+    """Hold the receivers of a node's events and counts."""
 
     timeline: Timeline
     metrics: NodeMetrics
@@ -46,7 +46,7 @@
 
 
 class Parts(Struct, frozen=True):
-    """Hold a node's parts; the fleet joins once addresses are bound."""
+    """Hold a node's parts; the fleet is added once addresses are bound."""
 
     settings: NodeSettings
     timeline: Timeline
@@ -56,13 +56,13 @@
     replica: EntryReplica
     configuration: ConfigurationSource
     table: DispatcherTable
-    desk: ServiceDesk
+    dispatchers: DispatcherRegistry
     proxy: ProxyServer
     store: OpenStore
 
 
 def open_recording(settings: NodeSettings) -> Recording:
-    """Open the time line and the metrics of a node."""
+    """Create the time line, the metrics and the journal of a node."""
     timeline = Timeline(settings)
     metrics = NodeMetrics()
     return Recording(timeline, metrics, CountingJournal(timeline, metrics))
--- a/hillfield/node/probing.py
+++ b/hillfield/node/probing.py
@@ -1,4 +1,4 @@
-"""Probes of targets: a second source of evidence beside real requests."""
+"""Probes of targets, as evidence in addition to real requests."""
 
 import asyncio
 from collections import deque
@@ -13,22 +13,22 @@
 from hillfield.model import Address, TargetId
 from hillfield.node.parts import Parts
 
-PAUSE: Final = 0.5
-PROBE_SECONDS: Final = 1
-FIRST_ERROR: Final = 400
-# States in which real requests say little or nothing of a target.
-DOUBTFUL: Final = frozenset(('suspected', 'ejected', 'avoided', 'trial'))
-REMEMBERED: Final = 4096
+PROBE_INTERVAL: Final = 0.5
+PROBE_TIMEOUT: Final = 1
+FIRST_ERROR_STATUS: Final = 400
+# States in which a target gets too few real requests for evidence.
+PROBED_STATES: Final = frozenset(('suspected', 'ejected', 'avoided', 'trial'))
+MAXIMUM_REMEMBERED: Final = 4096
 
 
 class ProbeOrder:
-    """Choose whom to probe next: doubtful targets, the longest unprobed.
+    """Choose the target to probe: of those not healthy, the longest unprobed.
 
-    Pure but for its own memory, which is bounded.
+    It does no I/O and remembers at most `MAXIMUM_REMEMBERED` probes.
     """
 
     def __init__(self) -> None:
-        """Remember no probe."""
+        """Start without probes."""
         self._probed: dict[TargetId, float] = {}
 
     def choose(
@@ -36,25 +36,25 @@
         now: float,
         known: tuple[TargetExplanation, ...],
     ) -> TargetId | None:
-        """Return the target to probe and note that it is; None: nobody."""
-        doubtful = [
-            health.target for health in known if health.state in DOUBTFUL
+        """Return the target to probe and record the probe; None if none is due."""
+        candidates = [
+            health.target for health in known if health.state in PROBED_STATES
         ]
-        if not doubtful:
+        if not candidates:
             return None
-        chosen = min(doubtful, key=self._last)
+        chosen = min(candidates, key=self._get_last_probe)
         self._probed.pop(chosen, None)
         self._probed[chosen] = now
-        while len(self._probed) > REMEMBERED:
+        while len(self._probed) > MAXIMUM_REMEMBERED:
             self._probed.pop(next(iter(self._probed)))
         return chosen
 
-    def _last(self, target: TargetId) -> float:
+    def _get_last_probe(self, target: TargetId) -> float:
         return self._probed.get(target, float('-inf'))
 
 
 class Prober:
-    """Probe at most one target each `PAUSE` seconds, service by service."""
+    """Probe at most one target each `PROBE_INTERVAL` seconds, by service."""
 
     def __init__(self, parts: Parts) -> None:
         """Prepare; `run` probes until it is cancelled."""
@@ -64,14 +64,14 @@
         self._client = CurlAsyncHTTPClient(force_instance=True)
 
     async def run(self) -> None:
-        """Probe for as long as the node runs."""
+        """Probe until cancelled."""
         while True:
-            await asyncio.sleep(PAUSE)
-            service = self._take_service()
+            await asyncio.sleep(PROBE_INTERVAL)
+            service = self._next_service()
             if service:
                 await self._probe_service(service)
 
-    def _take_service(self) -> str:
+    def _next_service(self) -> str:
         if not self._services:
             self._services.extend(self._parts.table.services())
         return self._services.popleft() if self._services else ''
@@ -95,12 +95,12 @@
     async def _fetch(self, address: Address, path: str) -> bool:
         request = HTTPRequest(
             f'http://{address}{path}',
-            connect_timeout=PROBE_SECONDS,
-            request_timeout=PROBE_SECONDS,
+            connect_timeout=PROBE_TIMEOUT,
+            request_timeout=PROBE_TIMEOUT,
             follow_redirects=False,
         )
         try:
             answer = await self._client.fetch(request, raise_error=False)
         except (HTTPClientError, CurlFailure, OSError):
             return False
-        return answer.code < FIRST_ERROR
+        return answer.code < FIRST_ERROR_STATUS
--- a/hillfield/node/quotas.py
+++ b/hillfield/node/quotas.py
@@ -1,4 +1,7 @@
-"""Limits of accounts between nodes: reports out, shares in, by datagrams."""
+"""Enforcement of account limits across nodes, by datagrams.
+
+Each node reports the usage of its accounts and receives its shares.
+"""
 
 from collections.abc import Iterator, Sequence
 from functools import partial
@@ -23,10 +26,10 @@
 from hillfield.quotas.messages import Shares, Uses
 from hillfield.timers import Appointment, find_timer
 
-# Rows of one datagram; those that don't fit go in a further one.
-ROWS_AT_ONCE: Final = 16
-# Seconds between looks at what is to be reported.
-LOOK_AGAIN: Final = 0.2
+# Rows of one datagram; the rest goes into further datagrams.
+ROWS_PER_DATAGRAM: Final = 16
+# Seconds between checks for usage to report.
+REPORT_INTERVAL: Final = 0.2
 
 Row = TypeVar('Row')
 
@@ -34,7 +37,7 @@
 class QuotaExchange:
     """Implement `Quotas` together with the other nodes of the fleet.
 
-    A request is decided here by what is known; reports follow.
+    A request is admitted by the local state at once; usage is reported later.
     """
 
     def __init__(
@@ -44,7 +47,7 @@
         random: Random,
     ) -> None:
         """Prepare; nothing is opened before `start`."""
-        self.socket = DatagramSocket(address, self._take)
+        self.socket = DatagramSocket(address, self._receive)
         self._codec = QuotaCodec(key)
         self._local = LocalUse(random)
         self._counts = UseCounter()
@@ -53,22 +56,22 @@
         self._ticking: Appointment | None = None
 
     def join(self, core: Core) -> None:
-        """Take what the node knows of its fleet."""
+        """Set the source of this node's record and of the live members."""
         self._core = core
 
     def start(self) -> None:
-        """Open the socket; raises `OSError` when it can't be had."""
+        """Open the socket; raises `OSError` if it can't be bound."""
         self.socket.start()
-        self._ticking = find_timer().every(LOOK_AGAIN, self._tick)
+        self._ticking = find_timer().every(REPORT_INTERVAL, self._tick)
 
     async def stop(self) -> None:
-        """Report no more, and close the socket."""
+        """Stop reporting, and close the socket."""
         if self._ticking is not None:
             self._ticking.cancel()
         await self.socket.stop()
 
     def adopt(self, accounts: tuple[FleetAccount, ...]) -> None:
-        """Take new limits into force."""
+        """Apply new limits."""
         self._counts.adopt(accounts)
 
     def ask(self, account: FleetAccount) -> float:
@@ -76,7 +79,7 @@
         return self._local.ask(monotonic(), account)
 
     def _tick(self) -> None:
-        """Report what is due."""
+        """Send due reports and updates."""
         core = self._core
         if core is None:
             return
@@ -85,9 +88,9 @@
         due = self._local.list_due(now)
         if due:
             self._report(core, due, now)
-        news = self._counts.list_news(now, self._members.part)
-        if news:
-            self._tell_all(core, news, now)
+        updates = self._counts.list_news(now, self._members.part)
+        if updates:
+            self._send_to_all(core, updates, now)
 
     def _report(
         self,
@@ -106,18 +109,18 @@
                 continue
             record = core.book.records.get(counter)
             if record is not None:
-                for packed in _split(rows):
-                    self._send(Uses(own, packed), record.link.ip)
+                for batch in _split(rows):
+                    self._send(Uses(own, batch), record.link.ip)
 
-    def _tell_all(
+    def _send_to_all(
         self,
         core: Core,
-        news: tuple[ShareRow, ...],
+        updates: tuple[ShareRow, ...],
         now: float,
     ) -> None:
-        self._local.take(now, news)
+        self._local.take(now, updates)
         others = [record.link.ip for record in list_others(core)]
-        for rows in _split(news):
+        for rows in _split(updates):
             self._send(Shares(rows), *others)
 
     def _count(
@@ -128,7 +131,7 @@
     ) -> tuple[ShareRow, ...]:
         return self._counts.take(now, sender, rows, self._members.part)
 
-    def _take(self, datagram: bytes, ip: str) -> None:
+    def _receive(self, datagram: bytes, ip: str) -> None:
         now = monotonic()
         match self._codec.open(datagram):
             case Uses(sender=sender, rows=rows):
@@ -148,5 +151,5 @@
 
 
 def _split(rows: Sequence[Row]) -> Iterator[tuple[Row, ...]]:
-    for start in range(0, len(rows), ROWS_AT_ONCE):
-        yield tuple(rows[start : start + ROWS_AT_ONCE])
+    for start in range(0, len(rows), ROWS_PER_DATAGRAM):
+        yield tuple(rows[start : start + ROWS_PER_DATAGRAM])
--- a/hillfield/node/reading.py
+++ b/hillfield/node/reading.py
@@ -1,4 +1,4 @@
-"""Gauges of a node, read at each scrape."""
+"""Values of a node's gauges, read at each scrape."""
 
 from collections import Counter
 from collections.abc import Iterator
@@ -57,7 +57,7 @@
 
 
 def find_unconfirmed(core: Core) -> float:
-    """Return how old what this node knows of the store is, if it is known."""
+    """Return the seconds since the entries were confirmed; NaN if unknown."""
     age = find_age(core, monotonic())
     return nan if age == inf else age
 
@@ -75,9 +75,9 @@
 def sum_limits(
     explained: tuple[RoutingExplanation, ...],
 ) -> Iterator[LimitReading]:
-    """Sum up the limits that each service's targets name, where any does."""
+    """Sum up the rate limits of the targets by service, if there are any."""
     for routing in explained:
-        told = (room.rate for room in routing.rooms)
-        rates = [rate for rate in told if rate is not None]
+        reported = (capacity.rate for capacity in routing.rooms)
+        rates = [rate for rate in reported if rate is not None]
         if rates:
             yield LimitReading(routing.service, len(rates), sum(rates))
--- a/hillfield/node/refused.py
+++ b/hillfield/node/refused.py
@@ -1,44 +1,44 @@
-"""Show operators which requests targets have ended under."""
+"""Pages for operators on requests that crashed targets."""
 
 from hillfield.clocks import monotonic
 from hillfield.control.refusedpages import RefusedRequest
 from hillfield.crashes.cases import Case
-from hillfield.node.crashes import CrashBook
+from hillfield.node.crashes import CrashTracker
 
 LIFTED = 'lifted by hand'
 
 
 class RefusedView:
-    """Show and lift what a node refuses; nothing where none are followed."""
+    """Show and lift refusals; empty without a `crash_tracker`."""
 
     def __init__(self) -> None:
-        """Show a node that follows no requests."""
-        self.book: CrashBook | None = None
+        """Start without a tracker of crashing requests."""
+        self.crash_tracker: CrashTracker | None = None
 
     def list_refused(self) -> tuple[RefusedRequest, ...]:
-        """Return the requests under which targets have ended, by name."""
-        book = self.book
-        if book is None:
+        """Return the requests that crashed targets, sorted by fingerprint."""
+        tracker = self.crash_tracker
+        if tracker is None:
             return ()
         now = monotonic()
-        cases = book.ledger.cases
+        cases = tracker.ledger.cases
         return tuple(
-            _show(now, cases[fingerprint])
+            _make_page(now, cases[fingerprint])
             for fingerprint in sorted(cases)
             if cases[fingerprint].ends
         )
 
     def lift(self, text: str) -> bool:
-        """Find a request harmless; False: no such one is followed."""
+        """Mark a request as harmless; False if it is unknown."""
         try:
             fingerprint = bytes.fromhex(text)
         except ValueError:
             return False
-        book = self.book
-        return book is not None and book.clear(fingerprint, LIFTED)
+        tracker = self.crash_tracker
+        return tracker is not None and tracker.clear(fingerprint, LIFTED)
 
 
-def _show(now: float, case: Case) -> RefusedRequest:
+def _make_page(now: float, case: Case) -> RefusedRequest:
     wait = case.find_wait(now)
     return RefusedRequest(
         case.fingerprint.hex(),
--- a/hillfield/node/relaying.py
+++ b/hillfield/node/relaying.py
@@ -1,4 +1,4 @@
-"""The node's bridge to the store."""
+"""The store relay of a node."""
 
 from random import Random
 
@@ -8,5 +8,5 @@
 
 
 def make_relay(parts: Parts, fleet: Fleet) -> Relay:
-    """Return the node's bridge to the store, idle unless a slot is open."""
+    """Return the node's store relay; it idles unless it holds a slot."""
     return Relay(fleet, parts.store, Random(), parts.journal)
--- a/hillfield/node/reporting.py
+++ b/hillfield/node/reporting.py
@@ -1,4 +1,4 @@
-"""Load reports between nodes: datagrams, sent when due and taken in."""
+"""Exchange of load reports between nodes, by datagrams."""
 
 from collections.abc import Callable
 from typing import Final
@@ -10,23 +10,23 @@
 from hillfield.loadreports import LoadReport, ReportCodec, ReportPacer
 from hillfield.model import Address
 from hillfield.node.datagrams import DatagramSocket
-from hillfield.node.listeners import Listeners
+from hillfield.node.targetusers import TargetUsers
 from hillfield.routing.requests import Verdict
 
-# Seconds for which an audience is kept before it is chosen anew.
-AUDIENCE_KEPT: Final = 1.0
-# What datagrams are counted as that come from elsewhere.
+# Seconds for which the chosen recipients of other failure domains are kept.
+RECIPIENTS_KEPT_SECONDS: Final = 1.0
+# Label of the datagram counter for forwarded reports.
 PASSED: Final = 'passed'
 
-ReportTaker = Callable[[float, LoadReport], tuple[Verdict, ...]]
+ReportListener = Callable[[float, LoadReport], tuple[Verdict, ...]]
 Deliverer = Callable[[tuple[Verdict, ...]], None]
 
 
 class LoadReporting:
-    """Tell others of the room at this host's target; hear of theirs.
+    """Send the capacity of this host's target; receive that of others.
 
-    A report that a node of another failure domain has sent is passed on to
-    those nodes of this one that use the target, as it came.
+    A report from a node of another failure domain is forwarded unchanged to
+    the nodes of this failure domain that use the target.
     """
 
     def __init__(
@@ -34,77 +34,80 @@
         address: Address,
         key: bytes,
         gate: Gate,
-        take: ReportTaker,
+        on_report: ReportListener,
         deliver: Deliverer,
     ) -> None:
         """Prepare; nothing is opened before `start`."""
         self.socket = DatagramSocket(address, self._receive)
         self._codec = ReportCodec(key)
         self._gate = gate
-        self._follow = take
+        self._on_report = on_report
         self._deliver = deliver
         self._pacer = ReportPacer()
-        self._audience = Audience()
-        self._chosen = -AUDIENCE_KEPT
+        self._recipients = Audience()
+        self._chosen_at = -RECIPIENTS_KEPT_SECONDS
         self._core: Core | None = None
-        self._listeners: Listeners | None = None
+        self._target_users: TargetUsers | None = None
 
     def join(self, core: Core) -> None:
-        """Take what the node knows of its fleet: until then nobody is told."""
+        """Set the state of the fleet; no report is sent before."""
         self._core = core
-        self._listeners = Listeners(core)
+        self._target_users = TargetUsers(core)
 
     def start(self) -> None:
-        """Open the socket; raises `OSError` when it can't be had."""
+        """Open the socket; raises `OSError` if it can't be bound."""
         self.socket.start()
-        self._gate.listener = self.note
+        self._gate.listener = self.send_reports
         self._gate.on_answer = self._pacer.note_answer
 
     async def stop(self) -> None:
         """Close the socket."""
         await self.socket.stop()
 
-    def note(self, now: float) -> None:
-        """Tell those who are due of what may have changed."""
+    def send_reports(self, now: float) -> None:
+        """Send the present load to the nodes for which a report is due."""
         report = self._gate.report(now)
         if report is None:
             return
-        seat = self._gate.seat
-        slots = 0 if seat is None else seat.target.slots
-        self._take(now, report)
-        near = self._find_listeners(now, report)
-        if self._pacer.is_due_near(now, report, slots, len(near)):
-            self.socket.send(self._codec.seal(report), near)
-        audience = self._follow_audience(now)
+        serving = self._gate.seat
+        slots = 0 if serving is None else serving.target.slots
+        self._apply(now, report)
+        users = self._list_users(now, report)
+        if self._pacer.is_due_near(now, report, slots, len(users)):
+            self.socket.send(self._codec.seal(report), users)
+        recipients = self._get_recipients(now)
         if self._pacer.is_due_far(now, report):
-            self.socket.send(self._codec.seal(report), audience.far)
+            self.socket.send(self._codec.seal(report), recipients.far)
 
-    def _follow_audience(self, now: float) -> Audience:
+    def _get_recipients(self, now: float) -> Audience:
         core = self._core
-        if core is not None and now - self._chosen >= AUDIENCE_KEPT:
-            self._chosen = now
+        if (
+            core is not None
+            and now - self._chosen_at >= RECIPIENTS_KEPT_SECONDS
+        ):
+            self._chosen_at = now
             others = list_alive(core)
-            self._audience = choose_audience(core.own.record, others)
-        return self._audience
+            self._recipients = choose_audience(core.own.record, others)
+        return self._recipients
 
-    def _find_listeners(
+    def _list_users(
         self,
         now: float,
         report: LoadReport,
     ) -> tuple[str, ...]:
-        if self._listeners is None:
+        if self._target_users is None:
             return ()
-        return self._listeners.find(now, report.target)
+        return self._target_users.list_addresses(now, report.target)
 
-    def _take(self, now: float, report: LoadReport) -> None:
-        self._deliver(self._follow(now, report))
+    def _apply(self, now: float, report: LoadReport) -> None:
+        self._deliver(self._on_report(now, report))
 
     def _receive(self, datagram: bytes, sender: str) -> None:
         report = self._codec.open(datagram)
         if report is None:
             return
         now = monotonic()
-        self._take(now, report)
-        if sender in self._follow_audience(now).elsewhere:
-            near = self._find_listeners(now, report)
-            self.socket.send(datagram, near, PASSED)
+        self._apply(now, report)
+        if sender in self._get_recipients(now).elsewhere:
+            users = self._list_users(now, report)
+            self.socket.send(datagram, users, PASSED)
--- a/hillfield/node/sharing.py
+++ b/hillfield/node/sharing.py
@@ -1,7 +1,8 @@
-"""Choice of the evidence that is worth telling the whole fleet.
+"""Selection of the evidence that is published to the whole fleet.
 
-Each statement is flooded to all nodes, so its cost grows with the number of
-nodes that tell. A target is condemned by a few of them: the rest keep quiet.
+Each published piece is flooded to all nodes, so the cost grows with the number
+of nodes that publish. The evidence of a few nodes is enough to eject a target;
+the other nodes publish nothing.
 """
 
 from collections.abc import Iterator
@@ -16,91 +17,91 @@
 from hillfield.fleet import NodeEvidence
 from hillfield.model import TargetId
 
-TELLERS_PER_DOMAIN: Final = 3
-# A statement is told anew when its failures have grown by half.
+PUBLISHERS_PER_DOMAIN: Final = 3
+# Evidence is published again when its failures have grown by half.
 GROWTH: Final = 1.5
 
 
-class Accusation(Struct, frozen=True):
-    """Name what is counted against a target."""
+class EvidenceKey(Struct, frozen=True):
+    """Identify a piece of evidence by target and indicator."""
 
     target: TargetId
     indicator: Indicator
 
     @property
     def text(self) -> str:
-        """Return a text that all nodes derive alike."""
+        """Return a text that is the same at all nodes."""
         return f'{self.target} {self.indicator}'
 
 
 class EvidenceGate:
-    """Hold back what enough nodes of the own failure domain tell already."""
+    """Drop evidence that enough nodes of this failure domain publish."""
 
     def __init__(self, node: str, domain: str) -> None:
-        """Tell for this node of this failure domain."""
+        """Start with nothing published by this node."""
         self._node = node
         self._domain = domain
-        self._told: dict[Accusation, Evidence] = {}
+        self._published: dict[EvidenceKey, Evidence] = {}
 
     def select(
         self,
         own: tuple[Evidence, ...],
         others: tuple[NodeEvidence, ...],
     ) -> tuple[Evidence, ...]:
-        """Return what to tell; earlier counts stay until they grow by half.
+        """Return the evidence to publish; counts change only by half or more.
 
-        All nodes rank the tellers of an accusation alike, so that of those
-        that began at the same moment the same few go on.
+        All nodes rank the publishers of a piece in the same order, so that of
+        nodes that start at the same moment the same few continue.
         """
-        tellers = find_tellers(self._domain, others)
-        self._told = {
-            accusation: self._renew(accusation, piece)
-            for accusation, piece in _index(own)
-            if self._may_tell(accusation, tellers)
+        publishers = find_publishers(self._domain, others)
+        self._published = {
+            key: self._update(key, piece)
+            for key, piece in _index(own)
+            if self._is_allowed(key, publishers)
         }
-        return tuple(self._told.values())
+        return tuple(self._published.values())
 
-    def _renew(self, accusation: Accusation, piece: Evidence) -> Evidence:
-        earlier = self._told.get(accusation)
+    def _update(self, key: EvidenceKey, piece: Evidence) -> Evidence:
+        earlier = self._published.get(key)
         if earlier is None or earlier.symptom is not piece.symptom:
             return piece
         has_grown = piece.failures >= earlier.failures * GROWTH
         has_shrunk = earlier.failures >= piece.failures * GROWTH
         return piece if has_grown or has_shrunk else earlier
 
-    def _may_tell(
+    def _is_allowed(
         self,
-        accusation: Accusation,
-        tellers: dict[Accusation, set[str]],
+        key: EvidenceKey,
+        publishers: dict[EvidenceKey, set[str]],
     ) -> bool:
-        others = tellers.get(accusation, set()) - {self._node}
-        if accusation not in self._told:
-            return len(others) < TELLERS_PER_DOMAIN
-        own_rank = _rank(self._node, accusation)
-        ahead = sum(_rank(other, accusation) < own_rank for other in others)
-        return ahead < TELLERS_PER_DOMAIN
+        others = publishers.get(key, set()) - {self._node}
+        if key not in self._published:
+            return len(others) < PUBLISHERS_PER_DOMAIN
+        own_rank = _rank(self._node, key)
+        ahead = sum(_rank(other, key) < own_rank for other in others)
+        return ahead < PUBLISHERS_PER_DOMAIN
 
 
-def find_tellers(
+def find_publishers(
     domain: str,
     others: tuple[NodeEvidence, ...],
-) -> dict[Accusation, set[str]]:
-    """Return the nodes of a failure domain that make each accusation."""
-    tellers: dict[Accusation, set[str]] = {}
-    for told in others:
-        if told.domain != domain:
+) -> dict[EvidenceKey, set[str]]:
+    """Return the nodes of a failure domain that publish each piece."""
+    publishers: dict[EvidenceKey, set[str]] = {}
+    for received in others:
+        if received.domain != domain:
             continue
-        for accusation, _ in _index(told.evidence):
-            tellers.setdefault(accusation, set()).add(told.node)
-    return tellers
+        for key, _ in _index(received.evidence):
+            publishers.setdefault(key, set()).add(received.node)
+    return publishers
 
 
 def _index(
     evidence: tuple[Evidence, ...],
-) -> Iterator[tuple[Accusation, Evidence]]:
+) -> Iterator[tuple[EvidenceKey, Evidence]]:
     for piece in evidence:
-        yield Accusation(piece.target, find_indicator(piece)), piece
+        yield EvidenceKey(piece.target, find_indicator(piece)), piece
 
 
-def _rank(node: str, accusation: Accusation) -> int:
-    return xxh64_intdigest(f'{node} {accusation.text}'.encode())
+def _rank(node: str, key: EvidenceKey) -> int:
+    return xxh64_intdigest(f'{node} {key.text}'.encode())
--- a/hillfield/node/tests/test_crashnews.py
+++ b/hillfield/node/tests/test_crashexchange.py
@@ -1,4 +1,4 @@
-"""When a node asks others which requests end targets."""
+"""When a node sends inquiries about crashing requests."""
 
 from random import Random
 
@@ -6,8 +6,8 @@
 from hillfield.events import ListJournal
 from hillfield.fleet.records import NodeRecord
 from hillfield.model import Address, Locality
-from hillfield.node.crashes import CrashBook
-from hillfield.node.crashnews import CrashExchange
+from hillfield.node.crashes import CrashTracker
+from hillfield.node.crashexchange import CrashExchange
 
 KEY = b'key'
 OTHER = NodeRecord(
@@ -19,7 +19,7 @@
 )
 
 
-class Book(CrashBook):
+class Tracker(CrashTracker):
     def __init__(self):
         super().__init__(KEY, ListJournal())
         self.others = []
@@ -29,35 +29,36 @@
 
 
 class Exchange(CrashExchange):
-    """Keep what would be sent."""
+    """Record messages instead of sending them."""
 
-    def __init__(self, book):
-        super().__init__(Address('127.0.0.1', 0), KEY, Random(1), book)
+    def __init__(self, tracker):
+        super().__init__(Address('127.0.0.1', 0), KEY, Random(1), tracker)
         self.sent = []
 
-    def look(self):
+    def run_check(self):
         self._tick()
 
     def _send(self, message, hosts):
         self.sent.extend((message, ip) for ip in hosts)
 
 
-def test_a_node_that_found_nobody_to_ask_asks_at_its_next_look():
-    # A question that went to nobody counted as asked, for 0.9 s.
-    book = Book()
-    exchange = Exchange(book)
-    exchange.look()
+def test_an_inquiry_without_a_recipient_is_sent_at_the_next_check():
+    # An inquiry without a recipient counted as sent and delayed the next one by
+    # 0.9 s.
+    tracker = Tracker()
+    exchange = Exchange(tracker)
+    exchange.run_check()
     assert not exchange.sent
-    book.others.append(OTHER)
-    exchange.look()
+    tracker.others.append(OTHER)
+    exchange.run_check()
     assert exchange.sent == [(Inquiry(0), '10.0.0.2')]
 
 
-def test_a_node_that_knows_nothing_asks_again_until_it_is_told():
-    # A question, or its answer, may be lost on the way.
-    book = Book()
-    book.others.append(OTHER)
-    exchange = Exchange(book)
-    exchange.look()
-    exchange.look()
+def test_a_node_without_cases_repeats_its_inquiry_until_answered():
+    # The datagram of an inquiry or of its answer may be lost.
+    tracker = Tracker()
+    tracker.others.append(OTHER)
+    exchange = Exchange(tracker)
+    exchange.run_check()
+    exchange.run_check()
     assert len(exchange.sent) == 2
--- a/hillfield/node/tests/test_journal.py
+++ b/hillfield/node/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""Events that are counted."""
+"""Events that the journal counts."""
 
 # Tests are untyped.
 # mypy: disable-error-code="no-untyped-call"
@@ -8,7 +8,7 @@
 from hillfield.node.journal import CountingJournal
 
 
-def test_refusals_for_bytes_are_counted_by_reason():
+def test_refusals_for_exhausted_bytes_are_counted_by_reason():
     metrics = NodeMetrics()
     kept = ListJournal()
     journal = CountingJournal(kept, metrics)
--- a/hillfield/node/tests/test_lateness.py
+++ b/hillfield/node/tests/test_lateness.py
@@ -1,4 +1,4 @@
-"""What a node says of its own lateness, and what it makes of it."""
+"""Detection of pauses of a node's loop, and their effect on targets."""
 
 import asyncio
 import time
@@ -20,16 +20,17 @@
     )
 
 
-def test_a_loop_that_is_late_says_so_and_how_much_of_it_was_work():
-    # Answers that lay unread were taken for hung, and no log told it.
+def test_a_late_loop_is_recorded_with_its_processor_time():
+    # Requests whose answers were not read yet were judged hung, and no log line
+    # showed the pause.
     journal = ListJournal()
     metrics = NodeMetrics()
     watch = LoopWatch(journal, metrics)
-    told = list[float]()
-    watch.listeners.append(lambda now, late: told.append(late))
+    reported = list[float]()
+    watch.listeners.append(lambda now, late: reported.append(late))
     for now in (5, 5.1, 5.2, 6.3, 6.4):
-        watch.look(now)
-    assert [round(late, 3) for late in told] == [1]
+        watch.check(now)
+    assert [round(late, 3) for late in reported] == [1]
     assert round(read_late(metrics), 3) == 1
     codes = [occurrence.code for occurrence in journal.occurrences]
     assert codes == [EventCode.LOOP_LATE]
@@ -37,8 +38,9 @@
 
 
 def test_a_target_does_not_expire_while_its_node_reads_nothing():
-    # Heartbeats lay unread, and callers were told that there was no target.
-    async def play():
+    # During a pause heartbeats stayed unread, the target expired, and callers were
+    # refused for lack of a target.
+    async def run_scenario():
         node = make_node()
         expiry = node.parts.settings.announcements.expiry
         await node.start()
@@ -54,7 +56,7 @@
         await node.stop()
         return kept, late, left
 
-    kept, late, left = asyncio.run(play())
+    kept, late, left = asyncio.run(run_scenario())
     assert kept
     assert late
     assert not left
--- a/hillfield/node/tests/test_loadview.py
+++ b/hillfield/node/tests/test_loadview.py
@@ -1,4 +1,4 @@
-"""What operators are shown of a service's room."""
+"""The load of a service as shown to operators."""
 
 from random import Random
 
@@ -40,7 +40,9 @@
     return made
 
 
-def tell(dispatcher, now, target, free, waiting=0, held=Held.NOTHING):
+def adopt_report_of(
+    dispatcher, now, target, free, waiting=0, held=Held.NOTHING
+):
     place = target.id.address
     report = LoadReport(
         'claims', place.ip, place.port, 7, 1, free, waiting, held
@@ -52,22 +54,22 @@
     return make_load(dispatcher.explain(now))
 
 
-def test_rooms_are_summed_up_by_failure_domain(dispatcher):
-    tell(dispatcher, 10, TARGETS[0], 1)
-    tell(dispatcher, 11, TARGETS[1], 0, 3, Held.USUAL)
-    tell(dispatcher, 12, TARGETS[2], 4)
+def test_capacity_is_summed_up_by_failure_domain(dispatcher):
+    adopt_report_of(dispatcher, 10, TARGETS[0], 1)
+    adopt_report_of(dispatcher, 11, TARGETS[1], 0, 3, Held.USUAL)
+    adopt_report_of(dispatcher, 12, TARGETS[2], 4)
     near, far = show(dispatcher, 13).domains
     assert near == DomainLoad('a', 2, 8, 1, 3, 1, 3)
     assert far == DomainLoad('b', 1, 4, 4, 0, 0, 1)
 
 
-def test_targets_that_have_told_nothing_are_counted(dispatcher):
-    tell(dispatcher, 10, TARGETS[0], 1)
+def test_targets_without_a_report_are_counted(dispatcher):
+    adopt_report_of(dispatcher, 10, TARGETS[0], 1)
     assert show(dispatcher, 10).silent == 2
 
 
-def test_what_went_there_since_is_taken_off(dispatcher):
-    tell(dispatcher, 10, TARGETS[0], 1)
+def test_requests_sent_since_the_report_reduce_free_slots(dispatcher):
+    adopt_report_of(dispatcher, 10, TARGETS[0], 1)
     dispatcher.admit(10.1, Arrival('r1', PLAN, 15, True))
     load = show(dispatcher, 10.2)
     assert load.in_flight == 1
--- a/hillfield/node/tests/test_node.py
+++ b/hillfield/node/tests/test_node.py
@@ -1,4 +1,4 @@
-"""Test a node's start, its own pages and its stop on loopback."""
+"""Start, pages and stop of a node over loopback."""
 
 import asyncio
 from pathlib import Path
@@ -27,10 +27,10 @@
     return DirectNode(parse_settings(SETTINGS.format(callers), Path()).ok)
 
 
-def test_starts_alone_and_says_what_it_waits_for():
-    """Without a peer or a store a node isn't ready, and says why."""
+def test_a_node_alone_is_not_ready_and_names_the_reason():
+    """Without a peer or a store a node is not ready."""
 
-    async def play():
+    async def run_scenario():
         node = make_node()
         opened = await node.start()
         readiness = node.page.read_readiness()
@@ -38,7 +38,7 @@
         await node.stop()
         return opened, readiness, members, node.page.read_readiness()
 
-    opened, readiness, members, after = asyncio.run(play())
+    opened, readiness, members, after = asyncio.run(run_scenario())
     assert opened.is_ok()
     assert not readiness.ready
     assert 'live peer' in readiness.reasons[0]
@@ -46,16 +46,16 @@
     assert after.reasons == ('shutting down',)
 
 
-def test_taken_address_is_an_error_that_names_it():
-    """A node whose address is taken says which one."""
+def test_an_address_in_use_is_an_error_that_names_it():
+    """The error holds the step and the address in use."""
 
-    async def play():
+    async def run_scenario():
         first = make_node()
         opened = await first.start()
         second = await make_node(str(opened.ok)).start()
         await first.stop()
         return opened.ok, second
 
-    taken, second = asyncio.run(play())
+    taken, second = asyncio.run(run_scenario())
     assert second.error.step == 'listen'
     assert second.error.peer == str(taken)
--- a/hillfield/node/tests/test_probing.py
+++ b/hillfield/node/tests/test_probing.py
@@ -1,4 +1,4 @@
-"""Test whom probes go to."""
+"""Choice of the targets to probe."""
 
 from hillfield.detection.evidence import Symptom
 from hillfield.detection.explanations import TargetExplanation
@@ -12,13 +12,13 @@
     return TargetExplanation(target, state, 0, '', Symptom.NONE, 1, False)
 
 
-def test_healthy_targets_are_left_alone():
-    """Real requests tell enough of a healthy target."""
+def test_healthy_targets_are_not_probed():
+    """Real requests give enough evidence about a healthy target."""
     assert ProbeOrder().choose(0, (make_health(1, 'healthy'),)) is None
 
 
 def test_the_longest_unprobed_goes_first():
-    """Doubtful targets take turns."""
+    """Targets that are not healthy are probed in rotation."""
     order = ProbeOrder()
     known = (make_health(1, 'ejected'), make_health(2, 'suspected'))
     turns = [order.choose(now, known) for now in range(4)]
--- a/hillfield/node/tests/test_repair.py
+++ b/hillfield/node/tests/test_repair.py
@@ -1,6 +1,6 @@
-"""Test that nodes come back whole, and that no work is done twice meanwhile.
+"""Recovery of nodes after faults, without running a request twice.
 
-Real nodes over loopback in one process; each test is the core of a scene of
+Real nodes over loopback in one process; each test is the core of a scenario of
 `hillfield experiment repair`.
 """
 
@@ -47,7 +47,7 @@
 
 SERVICE = 'settlement'
 SECRET = 'of-a-test-only'
-PATIENCE = 20
+TIMEOUT_SECONDS = 20
 READY = TargetState.READY
 NAME = 'x-request-id: '
 QUICK = '[announcements]\nheartbeat = 0.3\nexpiry = 1'
@@ -66,8 +66,8 @@
 CAPTURE = CallKind(SERVICE, 'POST', '/captures', idempotent=False)
 
 
-class Trial:
-    """Run nodes and the store stand-in on one loop."""
+class Environment:
+    """Run nodes and the emulated store on one loop."""
 
     def __init__(self, hosts):
         self.layout = make_layout(hosts, (), domains=2)
@@ -105,7 +105,7 @@
         async def look():
             return all(self.is_ready(number) for number in numbers)
 
-        assert await wait_until(look, PATIENCE) is not None
+        assert await wait_until(look, TIMEOUT_SECONDS) is not None
 
     def is_ready(self, number):
         return self.nodes[number].page.read_readiness().ready
@@ -120,19 +120,19 @@
         async def look():
             return self.read(number).revision >= self.revision
 
-        assert await wait_until(look, PATIENCE) is not None
+        assert await wait_until(look, TIMEOUT_SECONDS) is not None
 
 
-class Frozen:
-    """Take requests as a stopped process does, and run them on waking."""
+class FrozenTarget:
+    """Accept connections without reading, and run requests once woken."""
 
     def __init__(self):
         self.ran = []
         self.woken = asyncio.Event()
-        self.taken = 0
+        self.accepted = 0
 
     async def serve(self, reader, writer):
-        self.taken += 1
+        self.accepted += 1
         await self.woken.wait()
         head = await reader.readuntil(b'\r\n\r\n')
         lines = head.decode().lower().split('\r\n')
@@ -150,7 +150,7 @@
     async def look():
         return bool(node.page.list_targets())
 
-    assert await wait_until(look, PATIENCE) is not None
+    assert await wait_until(look, TIMEOUT_SECONDS) is not None
 
 
 async def send(host, kind, count):
@@ -169,84 +169,91 @@
     return calls
 
 
-def test_a_node_restarted_without_the_store_has_the_newest_configuration():
-    """It isn't ready a moment before it holds what was accepted last."""
-
-    async def play():
-        async with Trial(3) as trial:
-            await asyncio.gather(*map(trial.start, range(3)))
-            await trial.until_ready(0, 1, 2)
-            await trial.change(2)
-            await asyncio.gather(*map(trial.until_held, range(3)))
-            await trial.store.set_faults(StoreFaults(Outage.REFUSE))
-            await trial.nodes.pop(0).stop()
-            await trial.start(0)
-            # Looked at in each turn of the loop: not one may serve less.
-            async with asyncio.timeout(PATIENCE):
-                while not trial.is_ready(0):
+def test_a_node_restarted_without_the_store_gets_the_newest_configuration():
+    """The node is not ready before it holds the last accepted revision."""
+
+    async def run_scenario():
+        async with Environment(3) as environment:
+            await asyncio.gather(*map(environment.start, range(3)))
+            await environment.until_ready(0, 1, 2)
+            await environment.change(2)
+            await asyncio.gather(*map(environment.until_held, range(3)))
+            await environment.store.set_faults(StoreFaults(Outage.REFUSE))
+            await environment.nodes.pop(0).stop()
+            await environment.start(0)
+            # Readiness is checked in each iteration of the loop, so that a node
+            # that is ready for a moment with an older revision is noticed.
+            async with asyncio.timeout(TIMEOUT_SECONDS):
+                while not environment.is_ready(0):
                     await asyncio.sleep(0)
-            return trial.revision, trial.read(0), trial.read(1)
+            return (
+                environment.revision,
+                environment.read(0),
+                environment.read(1),
+            )
 
-    revision, restarted, other = asyncio.run(play())
+    revision, restarted, other = asyncio.run(run_scenario())
     assert restarted.revision == revision
     assert restarted.root == other.root
 
 
-def test_parted_nodes_merge_to_the_change_that_one_of_them_got():
-    """The one that lags takes the newer entry and never gives its own."""
+def test_partitioned_nodes_converge_to_the_newer_entry():
+    """The lagging node gets the newer entry and does not spread its own."""
 
-    async def play():
-        async with Trial(2) as trial:
-            await trial.start(0)
-            await trial.start(1, with_store=False)
-            await trial.until_ready(0, 1)
-            for faults, host in product(trial.faults(), trial.layout.hosts):
+    async def run_scenario():
+        async with Environment(2) as environment:
+            await environment.start(0)
+            await environment.start(1, with_store=False)
+            await environment.until_ready(0, 1)
+            for faults, host in product(
+                environment.faults(), environment.layout.hosts
+            ):
                 faults.cut(host.links)
-            before = trial.revision
-            await trial.change(2)
-            await trial.until_held(0)
-            apart = trial.read(1).revision
-            for healed in trial.faults():
+            before = environment.revision
+            await environment.change(2)
+            await environment.until_held(0)
+            apart = environment.read(1).revision
+            for healed in environment.faults():
                 healed.heal()
-            await trial.until_held(1)
-            return before, apart, trial.read(0), trial.read(1)
+            await environment.until_held(1)
+            return before, apart, environment.read(0), environment.read(1)
 
-    before, apart, newer, lagging = asyncio.run(play())
+    before, apart, newer, lagging = asyncio.run(run_scenario())
     assert apart == before
     assert newer.root == lagging.root
     assert newer.revision > before
 
 
-def test_a_target_that_wakes_runs_no_capture_that_was_told_not_run():
-    """Captures in flight at a frozen target may run when it wakes.
+def test_a_woken_target_runs_no_request_that_was_reported_not_run():
+    """Requests in flight at a frozen target may run when it wakes.
 
-    So they are told `unknown`, and are never sent a second time.
+    So their outcome is `unknown`, and they are never sent a second time.
     """
 
-    async def play():
-        async with Trial(1) as trial:
-            await trial.start(0)
-            await trial.until_ready(0)
-            host = trial.layout.hosts[0]
-            frozen = Frozen()
+    async def run_scenario():
+        async with Environment(1) as environment:
+            await environment.start(0)
+            await environment.until_ready(0)
+            host = environment.layout.hosts[0]
+            frozen = FrozenTarget()
             address = find_free(host.callers.ip)
             server = await asyncio.start_server(
                 frozen.serve,
                 address.ip,
                 address.port,
             )
-            await announce(trial.nodes[0], host, address)
+            await announce(environment.nodes[0], host, address)
             calls = await send(host, CAPTURE, 6)
             frozen.woken.set()
 
             async def look():
-                return len(frozen.ran) == frozen.taken
+                return len(frozen.ran) == frozen.accepted
 
-            await wait_until(look, PATIENCE)
+            await wait_until(look, TIMEOUT_SECONDS)
             server.close()
             return {call.request: call.ending for call in calls}, frozen.ran
 
-    told, ran = asyncio.run(play())
-    assert Ending.UNKNOWN in told.values()
-    assert {told[name] for name in ran} == {Ending.UNKNOWN}
+    outcomes, ran = asyncio.run(run_scenario())
+    assert Ending.UNKNOWN in outcomes.values()
+    assert {outcomes[name] for name in ran} == {Ending.UNKNOWN}
     assert len(ran) == len(set(ran))
--- a/hillfield/node/tests/test_reporting.py
+++ b/hillfield/node/tests/test_reporting.py
@@ -1,4 +1,4 @@
-"""Load reports between nodes, over real datagrams."""
+"""Load reports between nodes over real datagrams."""
 
 import asyncio
 from collections import Counter
@@ -19,11 +19,11 @@
 
 
 class Host:
-    """Hold a gate and its reporting; `heard` are the reports of others."""
+    """Hold a gate and its reporting; `received` are reports of others."""
 
     def __init__(self, number, domain, port):
         self.address = Address(make_ip(number), port)
-        self.heard = []
+        self.received = []
         self.delivered: list[Any] = []
         self.gate = Gate(ListJournal())
         place = Locality('r', domain, f'h{number}')
@@ -45,7 +45,7 @@
             self.address,
             KEY,
             self.gate,
-            self.take,
+            self.apply,
             self.delivered.extend,
         )
         self.reporting.socket.counter = self.count
@@ -57,12 +57,12 @@
     def count(self, direction, times):
         self.counted[direction] += times
 
-    def take(self, now, report):
+    def apply(self, now, report):
         if report.ip != self.address.ip:
-            self.heard.append(report)
+            self.received.append(report)
         return ()
 
-    def meet(self, hosts):
+    def join(self, hosts):
         records = {host.record.name: host.record for host in hosts}
         core: Any = SimpleNamespace(
             own=SimpleNamespace(record=self.record),
@@ -71,8 +71,8 @@
         )
         self.reporting.join(core)
         self.gate.take_seat(Seat(self.target, 'i'))
-        # Choose the audience: nothing is told before.
-        self.reporting.note(0)
+        # Chooses the recipients; nothing is sent before.
+        self.reporting.send_reports(0)
 
 
 @fixture
@@ -87,7 +87,7 @@
     for host in hosts:
         host.reporting.start()
     for host in hosts:
-        host.meet(hosts)
+        host.join(hosts)
     await asyncio.sleep(0.1)
     return hosts
 
@@ -96,53 +96,53 @@
     await asyncio.gather(*(host.reporting.stop() for host in hosts))
 
 
-def test_a_report_reaches_its_own_domain_and_through_one_node_another(port):
-    async def play():
+def test_a_report_reaches_its_domain_and_another_one_through_one_node(port):
+    async def run_scenario():
         hosts = await open_hosts(port, 'aabb')
         for host in hosts:
-            host.heard.clear()
-        hosts[0].reporting.note(10)
+            host.received.clear()
+        hosts[0].reporting.send_reports(10)
         await asyncio.sleep(0.2)
-        heard = [len(one.heard) for one in hosts]
+        received = [len(one.received) for one in hosts]
         await close_hosts(hosts)
-        return heard
+        return received
 
-    assert asyncio.run(play()) == [0, 1, 1, 1]
+    assert asyncio.run(run_scenario()) == [0, 1, 1, 1]
 
 
-def test_a_report_of_a_node_that_is_not_known_is_not_passed_on(port):
-    """Where it was, 47 nodes of one domain passed each report on and on."""
+def test_a_report_of_an_unknown_node_is_not_forwarded(port):
+    """Otherwise 47 nodes of one domain forward each report without end."""
 
-    async def play():
+    async def run_scenario():
         hosts = await open_hosts(port, 'aaa')
-        hosts[1].meet(hosts[1:])
+        hosts[1].join(hosts[1:])
         for host in hosts:
-            host.heard.clear()
+            host.received.clear()
             host.counted.clear()
-        hosts[0].reporting.note(10)
+        hosts[0].reporting.send_reports(10)
         await asyncio.sleep(0.2)
         await close_hosts(hosts)
-        heard = [len(one.heard) for one in hosts]
-        passed = [one.passed for one in hosts]
-        return heard, passed
+        received = [len(one.received) for one in hosts]
+        forwarded = [one.passed for one in hosts]
+        return received, forwarded
 
-    heard, passed = asyncio.run(play())
-    assert heard == [0, 1, 1]
-    assert not any(passed)
+    received, forwarded = asyncio.run(run_scenario())
+    assert received == [0, 1, 1]
+    assert not any(forwarded)
 
 
-def test_stray_datagrams_and_a_closed_socket_do_no_harm(port):
-    async def play():
+def test_forged_datagrams_and_a_closed_socket_are_ignored(port):
+    async def run_scenario():
         hosts = await open_hosts(port, 'aa')
-        hosts[1].heard.clear()
+        hosts[1].received.clear()
         identity = hosts[0].target.id
         forged = LoadReport('s', identity.address.ip, 80, 1, 99, 0)
-        told = (hosts[1].address.ip,)
+        recipients = (hosts[1].address.ip,)
         for datagram in (b'stray', ReportCodec(b'other').seal(forged)):
-            hosts[0].reporting.socket.send(datagram, told)
+            hosts[0].reporting.socket.send(datagram, recipients)
         await asyncio.sleep(0.1)
         await close_hosts(hosts)
-        hosts[0].reporting.note(20)
-        return hosts[1].heard
+        hosts[0].reporting.send_reports(20)
+        return hosts[1].received
 
-    assert asyncio.run(play()) == []
+    assert asyncio.run(run_scenario()) == []
--- a/hillfield/node/tests/test_listeners.py
+++ b/hillfield/node/tests/test_targetusers.py
@@ -1,4 +1,4 @@
-"""Who of a failure domain is told of a target's room."""
+"""Which nodes of a failure domain receive reports of a target."""
 
 from types import SimpleNamespace
 from typing import Any
@@ -7,7 +7,11 @@
 
 from hillfield.fleet import NodeRecord
 from hillfield.model import Address, Locality, Target, TargetId
-from hillfield.node.listeners import MOST_TOLD, USERS_KEPT, Listeners
+from hillfield.node.targetusers import (
+    MAXIMUM_RECIPIENTS,
+    USERS_CACHED_SECONDS,
+    TargetUsers,
+)
 from hillfield.routing.subsets import LARGEST_SUBSET, choose_subset
 
 DOMAINS = 'abcde'
@@ -49,56 +53,59 @@
     return core, known
 
 
-def test_all_of_the_own_domain_hear_of_a_small_service():
+def test_a_small_service_is_reported_to_the_whole_domain():
     core, targets = make_fleet(50, 20)
-    told = Listeners(core).find(100, targets[0].id)
-    assert len(told) == 9
-    assert {ip[:5] for ip in told} == {'10.0.'}
+    recipients = TargetUsers(core).list_addresses(100, targets[0].id)
+    assert len(recipients) == 9
+    assert {ip[:5] for ip in recipients} == {'10.0.'}
 
 
-def test_a_large_domain_is_told_in_part():
+def test_recipients_in_a_large_domain_are_bounded():
     core, targets = make_fleet(600, 20)
-    told = Listeners(core).find(100, targets[0].id)
-    assert len(told) == MOST_TOLD
+    recipients = TargetUsers(core).list_addresses(100, targets[0].id)
+    assert len(recipients) == MAXIMUM_RECIPIENTS
 
 
 @mark.parametrize('number', [0, 1, 7])
-def test_of_a_large_service_its_users_hear(number):
-    """Those are told that choose the target for their own subset."""
+def test_a_large_service_is_reported_to_its_users(number):
+    """Recipients are the nodes whose subset holds the target."""
     core, targets = make_fleet(235, 178)
     target = targets[number]
-    told = Listeners(core).find(100, target.id)
+    recipients = TargetUsers(core).list_addresses(100, target.id)
     users = set()
     for other in range(5, 235, 5):
         node = make_node(other)
         if target in choose_subset(targets, node.locality, 235):
             users.add(node.link.ip)
-    assert set(told) == users
-    assert 0 < len(told) < MOST_TOLD
+    assert set(recipients) == users
+    assert 0 < len(recipients) < MAXIMUM_RECIPIENTS
 
 
-def test_what_a_node_hears_is_bounded_by_its_subset():
+def test_reports_to_a_node_are_bounded_by_its_subset():
     for size in (235, 1000):
         core, targets = make_fleet(size, size)
-        listeners = Listeners(core)
-        heard = sum(
-            '10.0.0.1' in listeners.find(100, target.id) for target in targets
+        users_by_target = TargetUsers(core)
+        received = sum(
+            '10.0.0.1' in users_by_target.list_addresses(100, target.id)
+            for target in targets
         )
-        assert heard <= LARGEST_SUBSET
+        assert received <= LARGEST_SUBSET
 
 
-def test_other_regions_are_not_told():
+def test_other_regions_receive_no_reports():
     core, targets = make_fleet(5, 5)
-    stranger = make_node(0, region='far')
-    core.book.records[stranger.name] = stranger
-    core.book.alive |= {stranger.name}
-    assert not Listeners(core).find(100, targets[0].id)
+    outsider = make_node(0, region='far')
+    core.book.records[outsider.name] = outsider
+    core.book.alive |= {outsider.name}
+    assert not TargetUsers(core).list_addresses(100, targets[0].id)
 
 
-def test_users_are_worked_out_anew_after_a_while():
+def test_users_are_computed_again_after_the_cache_expires():
     core, targets = make_fleet(235, 178)
-    listeners = Listeners(core)
-    before = listeners.find(100, targets[0].id)
+    users_by_target = TargetUsers(core)
+    before = users_by_target.list_addresses(100, targets[0].id)
     core.book.alive = frozenset(('r0',))
-    assert listeners.find(101, targets[0].id) == before
-    assert not listeners.find(101 + USERS_KEPT, targets[0].id)
+    assert users_by_target.list_addresses(101, targets[0].id) == before
+    assert not users_by_target.list_addresses(
+        101 + USERS_CACHED_SECONDS, targets[0].id
+    )
--- a/hillfield/node/ticking.py
+++ b/hillfield/node/ticking.py
@@ -1,4 +1,4 @@
-"""What a node does at each tick."""
+"""The periodic work of a node."""
 
 from typing import Final
 
@@ -7,7 +7,7 @@
 from hillfield.clocks import monotonic
 from hillfield.fleet import Fleet
 from hillfield.model import TargetState
-from hillfield.node.counting import TotalsCarrier
+from hillfield.node.counting import TotalsExporter
 from hillfield.node.lateness import LoopWatch
 from hillfield.node.parts import Parts
 from hillfield.node.sharing import EvidenceGate
@@ -17,18 +17,18 @@
 
 
 class Ticker:
-    """Move time on in the pure parts and carry what they say between them."""
+    """Run the timers of the parts and pass state between them."""
 
     def __init__(self, parts: Parts, fleet: Fleet, watch: LoopWatch) -> None:
         """Prepare; the node calls `tick` each `TICK` seconds.
 
-        While `leaving`, the host's targets are told as draining.
+        While `leaving`, the host's targets are published as draining.
         """
         self._parts = parts
         self._fleet = fleet
         self._watch = watch
-        self._totals = TotalsCarrier(parts, fleet)
-        self._gate = EvidenceGate(
+        self._totals = TotalsExporter(parts, fleet)
+        self._evidence_gate = EvidenceGate(
             parts.settings.name,
             parts.settings.locality.failure_domain,
         )
@@ -37,9 +37,9 @@
         self._ticks = 0
 
     def tick(self) -> None:
-        """Do what is due."""
+        """Do the work that is due."""
         now = monotonic()
-        self._watch.look(now)
+        self._watch.check(now)
         self._ticks += 1
         core = self._fleet.state.core
         if core.own.ready:
@@ -47,10 +47,10 @@
         self._publish_targets(now)
         self._decide(now)
         if self._ticks % EVIDENCE_EVERY == 0:
-            self._share(now)
+            self._share_evidence(now)
 
     def withdraw_targets(self) -> None:
-        """Tell the fleet to send no more to the targets of this host."""
+        """Publish the targets of this host as draining."""
         self.leaving = True
         self._published = -1
         self._publish_targets(monotonic())
@@ -70,16 +70,16 @@
 
     def _decide(self, now: float) -> None:
         parts = self._parts
-        parts.desk.follow_configuration()
+        parts.dispatchers.apply_configuration()
         for occurrence in parts.table.tick(now):
             parts.journal.record(occurrence)
         parts.proxy.deliver(parts.table.poll(now))
 
-    def _share(self, now: float) -> None:
+    def _share_evidence(self, now: float) -> None:
         table = self._parts.table
         core = self._fleet.state.core
         own = table.evidence(now)
         others = core.findings.evidence() if own else ()
-        self._fleet.publish_evidence(self._gate.select(own, others))
+        self._fleet.publish_evidence(self._evidence_gate.select(own, others))
         table.adopt_nodes(now, len(core.book.alive))
-        self._totals.carry()
+        self._totals.export()
