--- a/hillfield/control/__init__.py
+++ b/hillfield/control/__init__.py
@@ -1,4 +1,4 @@
-"""HTTP for targets, operators and Prometheus at one node."""
+"""HTTP server of a node for targets, operators and Prometheus."""
 
 from hillfield.control.pages import (
     AnnouncedPage,
--- a/hillfield/control/answers.py
+++ b/hillfield/control/answers.py
@@ -1,4 +1,4 @@
-"""Answers of the control server."""
+"""Responses of the control server."""
 
 from http import HTTPStatus
 from traceback import extract_tb
@@ -9,43 +9,43 @@
 from tornado.web import HTTPError, RequestHandler
 
 from hillfield.announcements import AnnouncementProblem, Refusal
-from hillfield.control.origins import Origins
+from hillfield.control.hostaddresses import HostAddresses
 from hillfield.control.pages import ErrorPage, FieldProblem
 from hillfield.control.ports import ControlPorts
 from hillfield.events import EventCode, Occurrence, Timeline
 from hillfield.settings import NodeSettings
 
-LONGEST_NUMBER: Final = 19
-LONGEST_SHOWN: Final = 200
+MAXIMUM_DIGITS: Final = 19
+MAXIMUM_TEXT_LENGTH: Final = 200
 JSON_TYPE: Final = 'application/json; charset=utf-8'
 
 
-class Answering(RequestHandler):
-    """Answer in JSON, errors too; the base of all handlers."""
+class JsonHandler(RequestHandler):
+    """Respond in JSON, errors included; the base of all handlers."""
 
     def initialize(
         self,
         settings: NodeSettings,
         ports: ControlPorts,
-        origins: Origins,
+        host_addresses: HostAddresses,
     ) -> None:
-        """Take the node's parts."""
+        """Set the node's settings and parts."""
         self.node = settings
         self.ports = ports
-        self.origins = origins
+        self.host_addresses = host_addresses
 
     def set_default_headers(self) -> None:
-        """Leave out the library's name."""
+        """Remove the `Server` header, which names the library."""
         self.clear_header('Server')
 
     @property
     def step(self) -> str:
-        """Return what was called, for errors."""
+        """Return method and path of the request, for errors."""
         request = self.request
         return f'{request.method} {request.path}'
 
     def answer(self, page: Any, status: int = HTTPStatus.OK) -> None:
-        """End the request with a page in JSON."""
+        """Finish the request with a page in JSON."""
         self.set_status(status)
         self.set_header('Content-Type', JSON_TYPE)
         self.finish(encode(page))
@@ -56,7 +56,7 @@
         refusal: str,
         *problems: FieldProblem,
     ) -> None:
-        """End the request with what is wrong in it."""
+        """Finish the request with an error page that names the problems."""
         self.answer(
             ErrorPage(
                 refusal,
@@ -74,26 +74,26 @@
         error: BaseException | None,
         trace: TracebackType | None,
     ) -> None:
-        """Record a fault of ours; what a caller got wrong is not logged.
+        """Record an internal error; errors of the caller are not logged.
 
-        The library would write both to standard error by itself, as often
-        and as long as a caller likes.
+        The library writes both to standard error, without a bound on the
+        number and length of lines that a caller can cause.
         """
         if isinstance(error, HTTPError):
             return
-        place = extract_tb(trace)[-1]
-        detail = f'{error!r} at {place.name}, line {place.lineno}'
+        frame = extract_tb(trace)[-1]
+        detail = f'{error!r} at {frame.name}, line {frame.lineno}'
         self.ports.timeline.record(
             Occurrence(
                 EventCode.CONTROL_REQUEST_FAILED,
                 peer=self.request.remote_ip or '',
-                step=self.step[:LONGEST_SHOWN],
-                detail=detail[:LONGEST_SHOWN],
+                step=self.step[:MAXIMUM_TEXT_LENGTH],
+                detail=detail[:MAXIMUM_TEXT_LENGTH],
             ),
         )
 
     def write_error(self, status_code: int, **kwargs: Any) -> None:
-        """Answer what the library refuses, such as an unknown path."""
+        """Respond to a request that the library refuses, such as a method."""
         phrase = HTTPStatus(status_code).phrase.lower()
         problem = FieldProblem(
             'request',
@@ -103,17 +103,17 @@
         if status_code == HTTPStatus.BAD_REQUEST:
             problem = FieldProblem(
                 'request',
-                str(self.request.uri)[:LONGEST_SHOWN],
+                str(self.request.uri)[:MAXIMUM_TEXT_LENGTH],
                 'write the query in UTF-8, percent-encoded, and a body in JSON',
             )
         self.refuse(status_code, phrase, problem)
 
 
-class NotFound(Answering):
-    """Answer for paths that do not exist."""
+class NotFound(JsonHandler):
+    """Respond to requests for paths that do not exist."""
 
     def prepare(self) -> None:
-        """Refuse whatever the method is."""
+        """Refuse the request, whatever its method."""
         self.refuse(
             HTTPStatus.NOT_FOUND,
             Refusal.UNKNOWN,
@@ -140,16 +140,16 @@
 
 
 def is_number(text: str) -> bool:
-    """Tell whether a text is a whole number of at most 19 digits.
+    """Return whether a text is a whole number of at most 19 digits.
 
     >>> is_number('12'), is_number('-1'), is_number('1' * 20)
     (True, False, False)
     """
-    return text.isascii() and text.isdigit() and len(text) <= LONGEST_NUMBER
+    return text.isascii() and text.isdigit() and len(text) <= MAXIMUM_DIGITS
 
 
 def describe_problem(problem: AnnouncementProblem) -> FieldProblem:
-    """Return the problem as it is sent."""
+    """Return a problem as sent in JSON."""
     return FieldProblem(problem.field, problem.found, problem.fix)
 
 
--- a/hillfield/control/connections.py
+++ b/hillfield/control/connections.py
@@ -1,4 +1,4 @@
-"""A bound on the connections to the control address."""
+"""Limits on the connections to the control address."""
 
 from typing import Any, Final
 
@@ -6,52 +6,52 @@
 from tornado.httpserver import HTTPServer
 from tornado.iostream import IOStream
 
-from hillfield.control.origins import Origins
+from hillfield.control.hostaddresses import HostAddresses
 
-MAXIMUM_OWN: Final = 512
-MAXIMUM_FOREIGN: Final = 128
+MAXIMUM_LOCAL: Final = 512
+MAXIMUM_REMOTE: Final = 128
 
 
-class ConnectionBound:
-    """Count connections by where they come from.
+class ConnectionLimits:
+    """Count connections from this host and from other hosts separately.
 
-    Those of other hosts have a number of their own: however many there are,
-    the targets of this host still announce themselves.
+    Connections from other hosts have their own limit, so that the targets of
+    this host can announce themselves however many there are.
     """
 
-    def __init__(self, origins: Origins) -> None:
-        """Start with none."""
-        self.places: dict[object, bool] = {}
-        self._origins = origins
+    def __init__(self, host_addresses: HostAddresses) -> None:
+        """Start without connections."""
+        self.connections: dict[object, bool] = {}
+        self._host_addresses = host_addresses
 
     def admit(self, connection: object, ip: str) -> bool:
-        """Count a connection, unless there are too many of its kind."""
-        is_own = self._origins.check_sender(ip) is None
-        maximum = MAXIMUM_OWN if is_own else MAXIMUM_FOREIGN
-        if list(self.places.values()).count(is_own) >= maximum:
+        """Count a connection; False if the limit of its origin is reached."""
+        is_local = self._host_addresses.check_sender(ip) is None
+        maximum = MAXIMUM_LOCAL if is_local else MAXIMUM_REMOTE
+        if list(self.connections.values()).count(is_local) >= maximum:
             return False
-        self.places[connection] = is_own
+        self.connections[connection] = is_local
         return True
 
     def release(self, connection: object) -> None:
-        """Count a connection no longer."""
-        self.places.pop(connection, None)
+        """Remove a connection from the count."""
+        self.connections.pop(connection, None)
 
 
 class BoundedServer(HTTPServer):
-    """Close new connections beyond the bound, set before it listens."""
+    """Close new connections beyond `bound`, which is set before it listens."""
 
-    bound: ConnectionBound
+    bound: ConnectionLimits
 
     def handle_stream(self, stream: IOStream, address: Any) -> None:
-        """Serve a new connection, or close it."""
+        """Serve a new connection, or close it beyond the limit."""
         if self.bound.admit(stream, address[0]):
             super().handle_stream(stream, address)
         else:
             stream.close()
 
     def on_close(self, server_conn: object) -> None:
-        """Count a connection that ended no longer."""
+        """Remove a closed connection from the count."""
         if isinstance(server_conn, HTTP1ServerConnection):
             self.bound.release(server_conn.stream)
         super().on_close(server_conn)
--- a/hillfield/control/origins.py
+++ b/hillfield/control/hostaddresses.py
@@ -1,4 +1,4 @@
-"""Which addresses belong to the node's own host."""
+"""Check whether addresses belong to the node's own host."""
 
 from ipaddress import IPv4Address, IPv6Address, ip_address
 
@@ -7,12 +7,12 @@
 from hillfield.settings import NodeSettings
 
 
-class Origins:
-    """Know the host's addresses from the settings.
+class HostAddresses:
+    """Check senders and announced addresses against the host's addresses.
 
-    Loopback is always this host as a sender. As an announced address it
-    would mean another host at each node that reads it, so it counts only
-    where the nodes themselves are linked over loopback.
+    A sender on loopback is always on this host. An announced loopback address
+    would mean a different host at each node that reads it, so it is accepted
+    only if the nodes themselves are linked over loopback.
     """
 
     def __init__(self, settings: NodeSettings) -> None:
@@ -28,7 +28,7 @@
         self._is_local = ip_address(listen.links.ip).is_loopback
 
     def check_sender(self, text: str) -> AnnouncementProblem | None:
-        """Refuse a sender that is not on this host."""
+        """Return a problem if the sender is not on this host."""
         number = _normalise(text)
         if number.is_loopback or number in self._own:
             return None
@@ -41,7 +41,7 @@
         )
 
     def check_announced(self, address: Address) -> AnnouncementProblem | None:
-        """Refuse an address that is not of this host, or no address."""
+        """Return a problem if the address is not of this host or has no port."""
         if address.port == 0:
             return AnnouncementProblem(
                 Refusal.MALFORMED,
@@ -52,7 +52,7 @@
         number = _normalise(address.ip)
         if number.is_loopback and self._is_local:
             return None
-        if _can_be_reached(address.ip) and number in self._own:
+        if _is_reachable(address.ip) and number in self._own:
             return None
         return AnnouncementProblem(
             Refusal.FOREIGN,
@@ -70,6 +70,6 @@
     return number
 
 
-def _can_be_reached(text: str) -> bool:
+def _is_reachable(text: str) -> bool:
     number = _normalise(text)
     return not (number.is_loopback or number.is_unspecified)
--- a/hillfield/control/inquiries.py
+++ b/hillfield/control/inquiries.py
@@ -1,4 +1,4 @@
-"""What operators and their tools ask of a node."""
+"""Handlers for requests of operators and their tools."""
 
 from asyncio import sleep
 from collections.abc import Mapping
@@ -9,13 +9,13 @@
 from prometheus_client.exposition import CONTENT_TYPE_LATEST
 
 from hillfield.announcements import Refusal
-from hillfield.control.answers import Answering, is_number
+from hillfield.control.answers import JsonHandler, is_number
 from hillfield.control.pages import FieldProblem, MembersPage, Readiness
 from hillfield.events import TimelineFilter
 
-NEWEST: Final = 1000
+DEFAULT_LIMIT: Final = 1000
 MILLISECONDS_FIX: Final = 'write milliseconds since 1970, a whole number'
-NUMBERS: Final[Mapping[str, str]] = MappingProxyType(
+NUMBER_FIXES: Final[Mapping[str, str]] = MappingProxyType(
     {
         'since': MILLISECONDS_FIX,
         'until': MILLISECONDS_FIX,
@@ -24,19 +24,19 @@
 )
 
 
-class HealthHandler(Answering):
-    """Tell that the process runs."""
+class HealthHandler(JsonHandler):
+    """Report that the process runs."""
 
     def get(self) -> None:
-        """Answer 200 whenever the loop gets round to it."""
+        """Respond 200, which shows that the event loop runs."""
         self.answer(Readiness(ready=True))
 
 
-class ReadinessHandler(Answering):
-    """Tell whether the node takes work."""
+class ReadinessHandler(JsonHandler):
+    """Report whether the node accepts requests."""
 
     def get(self) -> None:
-        """Answer 200, or 503 with the reasons."""
+        """Respond 200, or 503 with the reasons."""
         readiness = self.ports.view.read_readiness()
         status = HTTPStatus.OK
         if not readiness.ready:
@@ -44,23 +44,23 @@
         self.answer(readiness, status)
 
 
-class MetricsHandler(Answering):
-    """Give the metrics to Prometheus."""
+class MetricsHandler(JsonHandler):
+    """Serve the metrics to Prometheus."""
 
     async def get(self) -> None:
-        """Answer in the text format; requests go on between its pieces."""
+        """Respond in the text format, in pieces so as not to block the loop."""
         self.set_header('Content-Type', CONTENT_TYPE_LATEST)
         for piece in self.ports.metrics.render():
             self.write(piece)
-            # One piece at a time is the purpose here.
+            # Yields to the loop after each piece, so that other requests proceed.
             await sleep(0)  # noqa: WPS476
 
 
-class ExplanationHandler(Answering):
+class ExplanationHandler(JsonHandler):
     """Explain a service."""
 
     def get(self, service: str) -> None:
-        """Answer why each target receives work or none."""
+        """Respond with the reasons why each target receives requests or none."""
         page = self.ports.view.explain(service)
         if page is None:
             known = ', '.join(self.ports.view.list_services()) or 'none'
@@ -70,29 +70,29 @@
         self.answer(page)
 
 
-class ConfigurationHandler(Answering):
+class ConfigurationHandler(JsonHandler):
     """Show the state of the configuration."""
 
     def get(self) -> None:
-        """Answer which revision is in force."""
+        """Respond with the revision in force."""
         self.answer(self.ports.view.read_configuration())
 
 
-class MembersHandler(Answering):
+class MembersHandler(JsonHandler):
     """List the nodes of the fleet."""
 
     def get(self) -> None:
-        """Answer with the nodes that are known here."""
+        """Respond with the nodes that this node knows."""
         members = self.ports.view.list_members()
         self.answer(MembersPage(self.node.name, members))
 
 
-class TimelineHandler(Answering):
-    """Give this node's part of the time line."""
+class TimelineHandler(JsonHandler):
+    """Serve this node's part of the time line."""
 
     def get(self) -> None:
-        """Answer with the newest wanted events, in order."""
-        problems = tuple(filter(None, map(self._check_number, NUMBERS)))
+        """Respond with the newest events that match the query, in order."""
+        problems = tuple(filter(None, map(self._check_number, NUMBER_FIXES)))
         if problems:
             self.refuse(
                 HTTPStatus.BAD_REQUEST,
@@ -107,14 +107,14 @@
             since=self._read_number('since'),
             until=self._read_number('until'),
         )
-        limit = self._read_number('limit') or NEWEST
+        limit = self._read_number('limit') or DEFAULT_LIMIT
         self.answer(self.ports.timeline.select(wanted)[-limit:])
 
     def _check_number(self, name: str) -> FieldProblem | None:
         text = self.get_query_argument(name, '')
         if not text or is_number(text):
             return None
-        return FieldProblem(name, repr(text), NUMBERS[name])
+        return FieldProblem(name, repr(text), NUMBER_FIXES[name])
 
     def _read_number(self, name: str) -> int | None:
         text = self.get_query_argument(name, '')
--- a/hillfield/control/load.py
+++ b/hillfield/control/load.py
@@ -1,13 +1,13 @@
-"""What a node knows of its services' room."""
+"""Handler for the capacity and load of services."""
 
-from hillfield.control.answers import Answering
+from hillfield.control.answers import JsonHandler
 from hillfield.control.loadpages import LoadPage
 
 
-class LoadHandler(Answering):
-    """Show capacity, demand and what is free, service by service."""
+class LoadHandler(JsonHandler):
+    """Show capacity, demand and free slots by service."""
 
     def get(self) -> None:
-        """Answer for each service that callers here have asked for."""
+        """Respond with each service that callers of this node have requested."""
         services = self.ports.view.list_loads()
         self.answer(LoadPage(self.node.name, services))
--- a/hillfield/control/loadpages.py
+++ b/hillfield/control/loadpages.py
@@ -1,16 +1,16 @@
-"""What operators read of a service's load, in JSON."""
+"""Pages on the load of services, as sent to operators in JSON."""
 
 from msgspec import Struct
 
 
 class DomainLoad(Struct, frozen=True):
-    """Show the targets of one failure domain, as their gates have told.
+    """Show the targets of one failure domain, as reported by their gates.
 
-    `told` counts the targets whose gates have told of their room, `slots`,
-    `free` and `waiting` are summed over them, `held` counts those that hold
-    usual work back, `age` is the seconds since the oldest of these reports,
-    `limited` counts the targets that name a limit, `rate` is the sum of their
-    limits in requests a second.
+    `told` counts the targets whose gates have reported their capacity;
+    `slots`, `free` and `waiting` are sums over them, `held` counts those from
+    which usual work is withheld, `age` is the seconds since the oldest of
+    these reports, `limited` counts the targets that name a rate limit, `rate`
+    is the sum of their limits in requests a second.
     """
 
     domain: str
@@ -25,11 +25,11 @@
 
 
 class ServiceLoad(Struct, frozen=True):
-    """Show what one node knows of a service's capacity, and asks of it.
+    """Show the capacity of a service and its load from one node.
 
     `waiting` requests wait at this node, `in_flight` are at targets;
     `admitted`, `refused`, `retries` and `unknown` count since it started,
-    `silent` counts the targets that it uses and has heard nothing of.
+    `silent` counts the targets that it uses and has no report of.
     """
 
     service: str
@@ -44,7 +44,7 @@
 
 
 class LoadPage(Struct, frozen=True):
-    """Show the services that a node's callers ask for."""
+    """Show the services that a node's callers have requested."""
 
     node: str
     services: tuple[ServiceLoad, ...]
--- a/hillfield/control/pages.py
+++ b/hillfield/control/pages.py
@@ -1,20 +1,20 @@
-"""What operators' tools read from a node, as sent in JSON."""
+"""Pages that a node sends to operators' tools in JSON."""
 
 from msgspec import Struct
 
 
 class Readiness(Struct, frozen=True):
-    """Tell whether the node takes work; `reasons` say why it does not."""
+    """Say whether the node accepts requests; `reasons` say why it does not."""
 
     ready: bool
     reasons: tuple[str, ...] = ()
 
 
 class TargetPage(Struct, frozen=True):
-    """Show a target as a node knows it.
+    """Show a target as known to a node.
 
-    `heard` is seconds since its newest heartbeat (None when it announces
-    itself to another node), `load` its own report.
+    `heard` is the seconds since its newest heartbeat (None if it announces
+    itself to another node), `load` is the load that the target reports.
     """
 
     service: str
@@ -32,7 +32,7 @@
 
 
 class TargetsPage(Struct, frozen=True):
-    """Show the targets of the node's host, and all of the fleet it knows."""
+    """Show the targets of the node's host, and all known of the fleet."""
 
     node: str
     own: tuple[TargetPage, ...]
@@ -40,11 +40,12 @@
 
 
 class TargetReport(Struct, frozen=True):
-    """Explain the treatment of one target.
+    """Explain the state of one target.
 
-    `since` is seconds since the state began, `share` what it receives of a
-    healthy target's work (0: none), `latency` in seconds, `rate` the requests
-    a second that the target says it takes (None: it names no limit).
+    `since` is the seconds since the state began, `share` the fraction that it
+    receives of a healthy target's requests (0: none), `latency` is in seconds,
+    `rate` is the limit in requests a second that the target names (None: no
+    limit).
     """
 
     target: str
@@ -62,11 +63,11 @@
 
 
 class ServicePage(Struct, frozen=True):
-    """Explain why each target of a service receives work or none.
+    """Explain why each target of a service receives requests or none.
 
-    `floor` is the share of announced slots that ejection leaves; `slots` are
-    those of the targets that the node decides on, `rotation_slots` those of
-    them that are in rotation.
+    `floor` is the share of announced slots that ejection must leave; `slots`
+    is the sum over the targets that the node uses, `rotation_slots` over those
+    of them that are in rotation.
     """
 
     node: str
@@ -81,8 +82,8 @@
 class ConfigurationPage(Struct, frozen=True):
     """Show the configuration in force at a node.
 
-    `revision` is the store's newest revision among its entries, `root` a
-    digest of them all, `adopted_at` wall seconds.
+    `revision` is the newest store revision among the entries, `root` a digest
+    of all entries, `adopted_at` the time of the newest one in wall seconds.
     """
 
     node: str
@@ -93,7 +94,7 @@
 
 
 class MemberPage(Struct, frozen=True):
-    """Show a node of the fleet as seen from here."""
+    """Show a node of the fleet as seen by this node."""
 
     node: str
     alive: bool
@@ -112,7 +113,7 @@
 
 
 class FieldProblem(Struct, frozen=True):
-    """Name a field of a request, what stood there, and the fix."""
+    """Name a field of a request, the content found, and the fix."""
 
     field: str
     found: str
@@ -120,7 +121,7 @@
 
 
 class ErrorPage(Struct, frozen=True):
-    """Say why the node refused; `event` is the event that records it."""
+    """Say why a request was refused; `event` is the recorded event's code."""
 
     refusal: str
     step: str
@@ -130,7 +131,7 @@
 
 
 class AnnouncedPage(Struct, frozen=True):
-    """Tell a target how it is listed and when to announce itself again.
+    """Show a target how it is listed and when to announce itself again.
 
     `heartbeat` and `expiry` are seconds.
     """
--- a/hillfield/control/plainserver.py
+++ b/hillfield/control/plainserver.py
@@ -1,4 +1,4 @@
-"""A server for one small address of its own."""
+"""A small HTTP server on a separate address."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -17,19 +17,18 @@
     def __init__(self, address: Address, paths: Sequence[Path]) -> None:
         """Prepare; nothing listens yet."""
         self._address = address
-        # Heartbeats would fill the log with a line for each request.
         application = Application(list(paths), log_function=ignore_request)
         self._server = HTTPServer(application)
 
     def start(self) -> None:
-        """Listen; raises `OSError` when the address can't be had."""
+        """Listen; raises `OSError` if the address can't be bound."""
         self._server.listen(self._address.port, self._address.ip)
 
     async def stop(self) -> None:
-        """Listen no more and end what is open."""
+        """Stop listening and close all connections."""
         self._server.stop()
         await self._server.close_all_connections()
 
 
 def ignore_request(request: object) -> None:
-    """Write no line for each request: heartbeats would fill the log."""
+    """Write no log line for a request: heartbeats would fill the log."""
--- a/hillfield/control/ports.py
+++ b/hillfield/control/ports.py
@@ -1,4 +1,4 @@
-"""What the control server needs of the node."""
+"""Interfaces of the node that the control server uses."""
 
 from collections.abc import Callable
 from typing import Protocol
@@ -21,19 +21,19 @@
 
 
 class NodeView(Protocol):
-    """Show the node's state; each method is called for one HTTP request."""
+    """Provide the node's state; each method serves one HTTP request."""
 
     def read_readiness(self) -> Readiness:
-        """Tell whether the node takes work, and if not, why."""
+        """Return whether the node accepts requests, and if not, why."""
 
     def explain(self, service: str) -> ServicePage | None:
-        """Explain a service; None when it isn't known here."""
+        """Return the page of a service; None if it is unknown."""
 
     def list_services(self) -> tuple[str, ...]:
         """Return the services that can be explained."""
 
     def list_targets(self) -> tuple[Target, ...]:
-        """Return all targets of the fleet that are known here."""
+        """Return all known targets of the fleet."""
 
     def read_configuration(self) -> ConfigurationPage:
         """Return the state of the configuration."""
@@ -42,17 +42,20 @@
         """Return the nodes of the fleet, this one among them."""
 
     def list_loads(self) -> tuple[ServiceLoad, ...]:
-        """Return what is known of the room of each service asked for."""
+        """Return the load of each service that callers here have requested."""
 
     def list_refused(self) -> tuple[RefusedRequest, ...]:
-        """Return the requests under which targets have ended."""
+        """Return the requests that crashed targets."""
 
     def lift(self, text: str) -> bool:
-        """Let a request through again, by its fingerprint in hexadecimal."""
+        """Lift the refusal of a request; False if its fingerprint is unknown.
+
+        `text` is the fingerprint in hexadecimal.
+        """
 
 
 class ControlPorts(Struct, frozen=True):
-    """Hold the node's parts that the control server shows or feeds."""
+    """Hold the node's parts that the control server reads or updates."""
 
     registry: TargetRegistry
     timeline: Timeline
--- a/hillfield/control/refusedpages.py
+++ b/hillfield/control/refusedpages.py
@@ -1,13 +1,14 @@
-"""What operators read of requests that targets ended under, in JSON."""
+"""Pages on requests that crashed targets, as sent to operators in JSON."""
 
 from msgspec import Struct
 
 
 class RefusedRequest(Struct, frozen=True):
-    """Show a request under which targets have ended.
+    """Show a request that crashed targets.
 
-    `nodes` saw the ends, `last` is seconds since the latest of them, `wait`
-    the seconds until it is tried again (None: not before it is lifted).
+    `ends` counts the exits of targets, `nodes` observed them, `last` is the
+    seconds since the latest one, `wait` the seconds until the request is tried
+    again (None: not before an operator lifts the refusal).
     """
 
     fingerprint: str
@@ -19,7 +20,7 @@
 
 
 class RefusedPage(Struct, frozen=True):
-    """Show the requests under which targets have ended, as a node knows them."""
+    """Show the requests that crashed targets, as known to a node."""
 
     node: str
     requests: tuple[RefusedRequest, ...]
--- a/hillfield/control/server.py
+++ b/hillfield/control/server.py
@@ -1,4 +1,4 @@
-"""The server that targets, operators and Prometheus call."""
+"""The control server, called by targets, operators and Prometheus."""
 
 from typing import Any, Final
 
@@ -6,7 +6,7 @@
 from tornado.web import Application
 
 from hillfield.control.answers import NotFound
-from hillfield.control.connections import BoundedServer, ConnectionBound
+from hillfield.control.connections import BoundedServer, ConnectionLimits
 from hillfield.control.inquiries import (
     ConfigurationHandler,
     ExplanationHandler,
@@ -17,10 +17,10 @@
     TimelineHandler,
 )
 from hillfield.control.load import LoadHandler
-from hillfield.control.origins import Origins
+from hillfield.control.hostaddresses import HostAddresses
 from hillfield.control.plainserver import ignore_request
 from hillfield.control.ports import ControlPorts
-from hillfield.control.refused import LiftingHandler, RefusedHandler
+from hillfield.control.refused import RefusalHandler, RefusedHandler
 from hillfield.control.targets import TargetsHandler, WithdrawalHandler
 from hillfield.model import Address
 from hillfield.settings import NodeSettings
@@ -42,7 +42,7 @@
     ('/v1/members', MembersHandler),
     ('/v1/load', LoadHandler),
     ('/v1/refused', RefusedHandler),
-    ('/v1/refused/([0-9a-f]+)', LiftingHandler),
+    ('/v1/refused/([0-9a-f]+)', RefusalHandler),
 )
 
 
@@ -52,8 +52,12 @@
     def __init__(self, settings: NodeSettings, ports: ControlPorts) -> None:
         """Prepare the paths; `start` opens the socket."""
         self._settings = settings
-        origins = Origins(settings)
-        parts = {'settings': settings, 'ports': ports, 'origins': origins}
+        host_addresses = HostAddresses(settings)
+        parts = {
+            'settings': settings,
+            'ports': ports,
+            'host_addresses': host_addresses,
+        }
         self.connections = BoundedServer(
             make_application(parts),
             max_body_size=MAXIMUM_BODY,
@@ -61,12 +65,12 @@
             body_timeout=BODY_SECONDS,
             idle_connection_timeout=IDLE_SECONDS,
         )
-        self.connections.bound = ConnectionBound(origins)
+        self.connections.bound = ConnectionLimits(host_addresses)
 
     def start(self) -> Address:
         """Listen, and return the address with the port that was bound.
 
-        Raises `OSError` when the address can't be had.
+        Raises `OSError` if the address can't be bound.
         """
         wanted = self._settings.listen.control
         sockets = bind_sockets(wanted.port, wanted.ip)
@@ -74,15 +78,15 @@
         return Address(wanted.ip, sockets[0].getsockname()[1])
 
     async def stop(self) -> None:
-        """Listen no more and end the connections that are left."""
+        """Stop listening and close the remaining connections."""
         self.connections.stop()
         await self.connections.close_all_connections()
 
 
 def make_application(parts: dict[str, Any]) -> Application:
-    """Return the table of paths."""
+    """Return the application with all paths."""
     return Application(
-        [(path, answering, parts) for path, answering in PATHS],
+        [(path, page_handler, parts) for path, page_handler in PATHS],
         default_handler_class=NotFound,
         default_handler_args=parts,
         log_function=ignore_request,
--- a/hillfield/control/targets.py
+++ b/hillfield/control/targets.py
@@ -1,4 +1,4 @@
-"""Announcements over HTTP, and the list of targets."""
+"""Handlers for announcements and the list of targets."""
 
 from typing import Final
 
@@ -12,7 +12,7 @@
     read_announcement,
 )
 from hillfield.control.answers import (
-    Answering,
+    JsonHandler,
     choose_status,
     describe_problem,
     is_number,
@@ -32,11 +32,11 @@
 INCARNATION: Final = 'incarnation'
 
 
-class TargetHandler(Answering):
+class TargetHandler(JsonHandler):
     """The base of the handlers that targets call."""
 
     def refuse_problems(self, problems: Problems) -> None:
-        """Answer and record what is wrong with the call."""
+        """Respond with the problems of the request, and record them."""
         peer = self.request.remote_ip or ''
         record_refusal(self.ports.timeline, peer, problems)
         refusal = problems[0].refusal
@@ -53,7 +53,7 @@
         self,
         outcome: Result[Target, AnnouncementProblem],
     ) -> None:
-        """Answer how the target is listed, or why not."""
+        """Respond with the target as listed, or with the problem."""
         if outcome.is_error():
             self.refuse_problems((outcome.error,))
             return
@@ -69,45 +69,47 @@
         self.answer(page)
 
     def refuses_sender(self) -> bool:
-        """Answer a sender of another host; tell whether it was one."""
-        problem = self.origins.check_sender(self.request.remote_ip or '')
+        """Refuse a sender of another host; return whether it was one."""
+        problem = self.host_addresses.check_sender(self.request.remote_ip or '')
         if problem is not None:
             self.refuse_problems((problem,))
         return problem is not None
 
 
 class TargetsHandler(TargetHandler):
-    """Take announcements and list targets."""
+    """Accept announcements and list targets."""
 
     def get(self) -> None:
         """List the host's own targets and all that are known.
 
-        `service` in the query leaves the other services out.
+        `service` in the query selects the targets of one service.
         """
         ports = self.ports
         service = self.get_query_argument('service', '')
         now = ports.read_monotonic()
-        lives = [
-            show_life(now, life)
-            for life in ports.registry.lives(now)
-            if _serves(life.shown, service)
+        own = [
+            show_incarnation(now, incarnation)
+            for incarnation in ports.registry.lives(now)
+            if _is_of_service(incarnation.shown, service)
         ]
         targets = ports.view.list_targets()
         known = [
-            show_target(each) for each in targets if _serves(each, service)
+            show_target(each)
+            for each in targets
+            if _is_of_service(each, service)
         ]
-        page = TargetsPage(self.node.name, tuple(lives), tuple(known))
+        page = TargetsPage(self.node.name, tuple(own), tuple(known))
         self.answer(page)
 
     def post(self) -> None:
-        """Take an announcement or heartbeat."""
+        """Accept an announcement or heartbeat."""
         if self.refuses_sender():
             return
         read = read_announcement(self.request.body)
         if read.is_error():
             self.refuse_problems(read.error)
             return
-        problem = self.origins.check_announced(read.ok.address)
+        problem = self.host_addresses.check_announced(read.ok.address)
         if problem is not None:
             self.refuse_problems((problem,))
             return
@@ -123,7 +125,7 @@
     """Withdraw one target."""
 
     def delete(self, service: str, address_text: str) -> None:
-        """Forget the target at once."""
+        """Remove the target at once."""
         if self.refuses_sender():
             return
         address = parse_address(address_text)
@@ -155,7 +157,7 @@
     load: float | None = None,
     heard: float | None = None,
 ) -> TargetPage:
-    """Return a target as operators are shown it."""
+    """Return the page of a target."""
     locality = target.locality
     return TargetPage(
         target.id.service,
@@ -173,10 +175,12 @@
     )
 
 
-def show_life(now: float, life: Life) -> TargetPage:
-    """Return a target of this host, with its newest report."""
-    return show_target(life.shown, life.reported.load, now - life.heard)
+def show_incarnation(now: float, incarnation: Life) -> TargetPage:
+    """Return the page of a target of this host, with its newest load."""
+    return show_target(
+        incarnation.shown, incarnation.reported.load, now - incarnation.heard
+    )
 
 
-def _serves(target: Target, service: str) -> bool:
+def _is_of_service(target: Target, service: str) -> bool:
     return not service or target.id.service == service
--- a/hillfield/control/tests/test_server.py
+++ b/hillfield/control/tests/test_server.py
@@ -1,4 +1,4 @@
-"""The control server over real sockets, with good input and bad."""
+"""The control server over real sockets, with valid and invalid input."""
 
 from collections.abc import Iterator
 from functools import partial
@@ -22,8 +22,8 @@
     Readiness,
     ServicePage,
 )
-from hillfield.control.connections import MAXIMUM_FOREIGN, MAXIMUM_OWN
-from hillfield.control.origins import Origins
+from hillfield.control.connections import MAXIMUM_REMOTE, MAXIMUM_LOCAL
+from hillfield.control.hostaddresses import HostAddresses
 from hillfield.events import EventCode, SilentLogger, Timeline
 from hillfield.metrics import NodeMetrics
 from hillfield.model import Address, Target
@@ -79,8 +79,8 @@
         return ()
 
 
-class Running:
-    """A server in a loop of its own, called from plain functions."""
+class RunningServer:
+    """A server in a separate loop, called from synchronous tests."""
 
     def __init__(self) -> None:
         self.loop = IOLoop(make_current=False)
@@ -98,7 +98,7 @@
         return self.loop.run_sync(partial(work, *arguments), timeout=10)
 
     def call(self, path: str, method: str = 'GET', body: Any = None) -> Any:
-        """Return status and page."""
+        """Return the status and the decoded page."""
         return self.run(self._call, path, method, body)
 
     def close(self) -> None:
@@ -131,13 +131,13 @@
 
 
 @pytest.fixture
-def running() -> Iterator[Running]:
-    server = Running()
+def running() -> Iterator[RunningServer]:
+    server = RunningServer()
     yield server
     server.close()
 
 
-def test_announces_and_withdraws(running: Running) -> None:
+def test_announces_and_withdraws(running: RunningServer) -> None:
     status, page = running.call('/v1/targets', 'POST', GOOD)
     assert (status, page['state'], page['heartbeat']) == (200, 'ready', 1)
     _, listed = running.call('/v1/targets')
@@ -176,7 +176,7 @@
         ('GET', '/v1/timeline?limit=-1', None, 400, 'limit'),
     ],
 )
-def test_names_what_is_wrong_and_still_serves(
+def test_names_the_problem_and_keeps_serving(
     running, method, path, body, status, field
 ):
     found, page = running.call(path, method, body)
@@ -195,33 +195,33 @@
         b'GET / HTTP/1.1\r\nX: %b\r\n\r\n' % bytes(20000),
     ],
 )
-def test_ends_connections_that_are_no_http(running, raw):
+def test_closes_connections_with_invalid_http(running, raw):
     with pytest.raises(StreamClosedError):
         running.run(running.write_until_closed, raw)
     assert running.call('/healthz')[0] == 200
 
 
-def test_refuses_foreign_senders():
-    origins = Origins(
+def test_refuses_senders_on_other_hosts():
+    host_addresses = HostAddresses(
         replace(
             SETTINGS, announcements=AnnouncementSettings(own_ips=('10.1.1.1',))
         )
     )
-    assert origins.check_sender('10.1.1.2') is not None
+    assert host_addresses.check_sender('10.1.1.2') is not None
     for own in ('10.1.1.1', '::ffff:10.1.1.1', '127.0.0.1', '::1'):
-        assert origins.check_sender(own) is None
+        assert host_addresses.check_sender(own) is None
 
 
 def test_loopback_targets_are_refused_where_other_hosts_exist():
     outside = Address('10.1.1.1', 0)
-    origins = Origins(
+    host_addresses = HostAddresses(
         replace(SETTINGS, listen=ListenSettings(outside, LOOPBACK, outside))
     )
-    assert origins.check_announced(Address('127.0.0.1', 80)) is not None
-    assert origins.check_announced(Address('10.1.1.1', 80)) is None
+    assert host_addresses.check_announced(Address('127.0.0.1', 80)) is not None
+    assert host_addresses.check_announced(Address('10.1.1.1', 80)) is None
 
 
-def test_operators_pages(running: Running) -> None:
+def test_operators_pages(running: RunningServer) -> None:
     status, page = running.call('/readyz')
     assert (status, page['reasons']) == (503, ['no configuration'])
     assert running.call('/v1/explain/search')[1]['slots'] == 3
@@ -233,11 +233,11 @@
 
 
 def fail(view: FixedView) -> tuple[str, ...]:
-    raise ZeroDivisionError('a fault of the node')
+    raise ZeroDivisionError('an internal error')
 
 
-def test_faults_are_events_and_wrong_calls_write_no_lines(
-    running: Running,
+def test_internal_errors_are_events_and_bad_requests_write_no_lines(
+    running: RunningServer,
     monkeypatch: pytest.MonkeyPatch,
     caplog: pytest.LogCaptureFixture,
 ) -> None:
@@ -256,7 +256,7 @@
     assert not caplog.records
 
 
-def test_serves_the_time_line(running: Running) -> None:
+def test_serves_the_time_line(running: RunningServer) -> None:
     running.call('/v1/targets', 'POST', GOOD)
     running.call('/v1/targets', 'POST', b'{')
     _, entries = running.call('/v1/timeline')
@@ -270,7 +270,7 @@
 
 
 def test_refuses_a_number_of_thousands_of_digits(
-    running: Running,
+    running: RunningServer,
 ) -> None:
     number = '1' * 5000
     path = f'/v1/targets/search/127.0.0.1:81?incarnation={number}'
@@ -278,26 +278,26 @@
     assert running.call(f'/v1/timeline?since={number}')[0] == 400
 
 
-def test_connections_of_other_hosts_leave_room_for_targets(
-    running: Running,
+def test_connections_of_other_hosts_do_not_block_targets(
+    running: RunningServer,
 ) -> None:
-    silent = [object() for _ in range(MAXIMUM_FOREIGN)]
-    places = running.server.connections.bound.places
-    places.update(dict.fromkeys(silent, False))
+    silent = [object() for _ in range(MAXIMUM_REMOTE)]
+    held = running.server.connections.bound.connections
+    held.update(dict.fromkeys(silent, False))
     assert running.call('/v1/targets', 'POST', GOOD)[0] == 200
 
 
-def test_closes_connections_beyond_the_bound(running: Running) -> None:
-    silent = [object() for _ in range(MAXIMUM_OWN)]
-    places = running.server.connections.bound.places
-    places.update(dict.fromkeys(silent, True))
+def test_closes_connections_beyond_the_limit(running: RunningServer) -> None:
+    silent = [object() for _ in range(MAXIMUM_LOCAL)]
+    held = running.server.connections.bound.connections
+    held.update(dict.fromkeys(silent, True))
     with pytest.raises(StreamClosedError):
         running.run(running.write_until_closed, b'')
-    places.clear()
+    held.clear()
     assert running.call('/healthz')[0] == 200
-    assert not places
+    assert not held
 
 
-def test_a_node_that_nobody_asks_shows_no_load(running):
+def test_a_node_without_requests_shows_no_load(running):
     status, page = running.call('/v1/load')
     assert (status, page['services']) == (200, [])
