--- a/hillfield/events/clock.py
+++ b/hillfield/events/clock.py
@@ -1,4 +1,4 @@
-"""A hybrid logical clock: wall time that never contradicts causality.
+"""A hybrid logical clock: wall time that is consistent with causality.
 
 After Kulkarni, Demirbas, Madappa, Avva and Leone, "Logical Physical Clocks
 and Consistent Snapshots in Globally Distributed Databases" (2014).
@@ -10,12 +10,13 @@
 
 LOGICAL_BITS: Final = 16
 LOGICAL_LIMIT: Final = 1 << LOGICAL_BITS
-# Beyond this a peer's clock is taken for wrong rather than followed.
+# Milliseconds by which a peer's clock may lead; a larger lead is treated as a
+# wrong clock and ignored.
 MAXIMUM_LEAD: Final = 60000
 
 
 class Stamp(Struct, frozen=True, order=True):
-    """Hold wall time in milliseconds and a counter within it."""
+    """Hold wall time in milliseconds and a counter within the millisecond."""
 
     physical: int = 0
     logical: int = 0
@@ -30,12 +31,12 @@
 
     @classmethod
     def unpack(cls, number: int) -> 'Stamp':
-        """Return the stamp that `pack` made into this number."""
+        """Return the stamp that `pack` encoded as this number."""
         return cls(number >> LOGICAL_BITS, number % LOGICAL_LIMIT)
 
 
 class HybridClock:
-    """Give stamps that grow with each event and each message taken in.
+    """Create stamps that increase with each event and received message.
 
     >>> clock = HybridClock()
     >>> clock.tick(5), clock.tick(4)
@@ -51,25 +52,25 @@
     def tick(self, wall: int) -> Stamp:
         """Return the stamp of a local event or of a message to be sent.
 
-        `wall` is the wall clock in milliseconds; it may step back.
+        `wall` is the wall clock in milliseconds; it may be set back.
         """
-        self.newest = max(Stamp(wall), _follow(self.newest))
+        self.newest = max(Stamp(wall), _increment(self.newest))
         return self.newest
 
     def merge(self, wall: int, remote: Stamp) -> Stamp:
-        """Return the stamp of taking in a message that carries `remote`.
+        """Return the stamp of receiving a message with the stamp `remote`.
 
         A remote stamp more than `MAXIMUM_LEAD` ahead of the wall clock is
-        not followed: one wrong clock must not carry the fleet's away.
+        ignored, so that one wrong clock does not advance those of the fleet.
         """
         if remote.physical - wall > MAXIMUM_LEAD:
             return self.tick(wall)
         newest = max(self.newest, remote)
-        self.newest = max(Stamp(wall), _follow(newest))
+        self.newest = max(Stamp(wall), _increment(newest))
         return self.newest
 
 
-def _follow(stamp: Stamp) -> Stamp:
+def _increment(stamp: Stamp) -> Stamp:
     if stamp.logical + 1 < LOGICAL_LIMIT:
         return Stamp(stamp.physical, stamp.logical + 1)
     return Stamp(stamp.physical + 1)
--- a/hillfield/events/entries.py
+++ b/hillfield/events/entries.py
@@ -1,4 +1,4 @@
-"""Events of the time line, filtered and merged."""
+"""Entries of the time line, and how they are filtered and merged."""
 
 from collections.abc import Iterable
 from datetime import UTC, datetime
@@ -12,18 +12,18 @@
 from hillfield.events.occurrences import Occurrence
 
 MILLISECONDS: Final = 1000
-# Of each text; callers choose some of them, such as a path without a route.
-LONGEST_TEXT: Final = 1000
-CUT: Final = '...'
-# Read in C; data classes compare in Python.
+# Characters of each text; some texts are chosen by callers, such as a path
+# without a route.
+MAXIMUM_TEXT_LENGTH: Final = 1000
+ELLIPSIS: Final = '...'
+# Attributes are read in C; data classes compare in Python, which is slower.
 READ_ORDER: Final = attrgetter('stamp.physical', 'stamp.logical', 'node')
 
 
 class TimelineEntry(Struct, frozen=True):
-    """Hold one event as it goes between processes.
+    """Hold one event as sent between processes.
 
-    `code` is a plain number, so that the events of a newer release can be
-    read.
+    `code` is a plain number, so that events of a newer release can be decoded.
     """
 
     stamp: Stamp
@@ -41,7 +41,7 @@
 
     @property
     def order(self) -> tuple[Stamp, str]:
-        """Return what the merged time line is ordered by."""
+        """Return the sort key of the merged time line."""
         return (self.stamp, self.node)
 
     @property
@@ -53,9 +53,9 @@
 
 
 class TimelineFilter(Struct, frozen=True):
-    """Say which events are wanted; what is empty selects all.
+    """Select events; an empty field matches all.
 
-    `target` may be a part of a target's name, such as its address; `since`
+    `target` may be part of a target's name, such as its address; `since`
     and `until` are wall time in milliseconds, both included.
     """
 
@@ -66,7 +66,7 @@
     until: int | None = None
 
     def matches(self, entry: TimelineEntry) -> bool:
-        """Tell whether the event is wanted."""
+        """Return whether the event matches all fields."""
         if self.service and entry.service != self.service:
             return False
         if self.request and entry.request != self.request:
@@ -85,7 +85,7 @@
     node: str,
     occurrence: Occurrence,
 ) -> TimelineEntry:
-    """Stamp an event with its time and node."""
+    """Return the entry of an event with its time and node."""
     code = occurrence.code
     return TimelineEntry(
         stamp,
@@ -104,24 +104,24 @@
 
 
 def shorten(text: str) -> str:
-    """Return a text of a length that the time line keeps.
+    """Return a text, cut to the length that the time line keeps.
 
     >>> len(shorten('a' * 5000))
     1000
     """
-    if len(text) <= LONGEST_TEXT:
+    if len(text) <= MAXIMUM_TEXT_LENGTH:
         return text
-    kept = LONGEST_TEXT - len(CUT)
-    return text[:kept] + CUT
+    kept = MAXIMUM_TEXT_LENGTH - len(ELLIPSIS)
+    return text[:kept] + ELLIPSIS
 
 
 def merge_timelines(
     parts: Iterable[Iterable[TimelineEntry]],
 ) -> tuple[TimelineEntry, ...]:
-    """Put the parts of several nodes into one causal order.
+    """Merge the parts of several nodes in causal order.
 
-    An event that stands in several parts is listed once. Causes come before
-    their effects; what is concurrent is ordered by time, then by node.
+    An event in several parts is listed once. Causes precede their effects;
+    concurrent events are ordered by time, then by node.
     """
     return sort_entries({entry for part in parts for entry in part})
 
@@ -129,5 +129,5 @@
 def sort_entries(
     entries: Iterable[TimelineEntry],
 ) -> tuple[TimelineEntry, ...]:
-    """Put events into order, by stamp and then by node."""
+    """Sort events by stamp and then by node."""
     return tuple(sorted(entries, key=READ_ORDER))
--- a/hillfield/events/limits.py
+++ b/hillfield/events/limits.py
@@ -1,4 +1,4 @@
-"""A limit of log lines per code and second."""
+"""A limit on log lines per event code and second."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -24,14 +24,14 @@
     """
 
     def __init__(self, settings: TimelineSettings) -> None:
-        """Start with nothing counted."""
+        """Start with all counts at zero."""
         self._settings = settings
         self._seconds: dict[int, _Second] = {}
 
     def admit(self, wall: int, code: int) -> int | None:
-        """Return how many lines were left out before this one.
+        """Return the number of lines suppressed before this one.
 
-        None when this one is to be left out too; `wall` in milliseconds.
+        None if this one is suppressed too; `wall` is in milliseconds.
         """
         number = wall // MILLISECONDS
         second = self._seconds.setdefault(code, _Second(number))
--- a/hillfield/events/logs.py
+++ b/hillfield/events/logs.py
@@ -1,4 +1,4 @@
-"""Log lines by structlog, as JSON or for a console."""
+"""Log lines written by structlog, as JSON or for a console."""
 
 from logging import getLevelNamesMapping
 from typing import Any, Final, Protocol, TextIO, cast
@@ -27,14 +27,14 @@
     """Write one line for an event."""
 
     def write(self, entry: TimelineEntry, suppressed: int) -> None:
-        """Write the event and how many lines of its code were left out."""
+        """Write the event and how many lines of its code were suppressed."""
 
 
 class StructuredLogger:
     """Write lines at each event's severity."""
 
     def __init__(self, settings: NodeSettings, stream: LineStream) -> None:
-        """Choose the format and the least severity from the settings."""
+        """Set the format and the least severity from the settings."""
         level = getLevelNamesMapping()[settings.log.level.upper()]
         self._stream = stream
         self._logger = wrap_logger(
@@ -44,7 +44,7 @@
         )
 
     def write(self, entry: TimelineEntry, suppressed: int) -> None:
-        """Write the event and how many lines of its code were left out.
+        """Write the event and how many lines of its code were suppressed.
 
         `lost` counts lines that could not be written before this one.
         """
@@ -69,16 +69,16 @@
     """Write nothing, for tests and tools."""
 
     def write(self, entry: TimelineEntry, suppressed: int) -> None:
-        """Leave the line out."""
+        """Drop the line."""
 
 
 def make_logger(settings: NodeSettings) -> Logger:
-    """Make the logger of a process; it writes to standard output."""
+    """Return the logger of a process; it writes to standard output."""
     return StructuredLogger(settings, LineStream(STANDARD_OUTPUT))
 
 
 def choose_renderer(settings: NodeSettings) -> Any:
-    """Return the processor that makes the line."""
+    """Return the processor that renders a line."""
     if settings.log.format is LogFormat.JSON:
         return JSONRenderer()
     return ConsoleRenderer(colors=False)
--- a/hillfield/events/occurrences.py
+++ b/hillfield/events/occurrences.py
@@ -1,4 +1,4 @@
-"""Typed events as the parts of hillfield report them."""
+"""Events as reported by the parts of hillfield."""
 
 from typing import Protocol
 
@@ -8,10 +8,10 @@
 
 
 class Occurrence(Struct, frozen=True):
-    """Say what happened, and to whom.
+    """Describe an event and what it concerns.
 
-    Fields that do not apply stay empty; `detail` is for people, and what a
-    script needs stands in the other fields.
+    Fields that do not apply stay empty; `detail` is text for people, the
+    other fields can be evaluated by scripts.
     """
 
     code: EventCode
@@ -25,7 +25,7 @@
 
 
 class Journal(Protocol):
-    """Take events; implemented by the time line and by lists in tests."""
+    """Record events; implemented by the time line and by lists in tests."""
 
     def record(self, occurrence: Occurrence) -> None:
         """Record an event at the present time."""
--- a/hillfield/events/streams.py
+++ b/hillfield/events/streams.py
@@ -1,19 +1,19 @@
-"""Log lines to a descriptor that may be slow, full or closed."""
+"""Log lines written to a descriptor that may be slow, full or closed."""
 
 import os
 from select import PIPE_BUF, POLLOUT, poll
 from typing import Final
 
-MORE: Final = b'...\n'
+CUT_MARK: Final = b'...\n'
 
 
 class LineStream:
-    """Write whole lines, and never wait for the reader.
+    """Write complete lines without waiting for the reader.
 
-    A pipe that can be written to takes at least `PIPE_BUF` bytes, so a line
-    of at most that many does not block; a longer one is cut. When the reader
-    has stopped, lines are dropped and counted in `lost`: a log collector
-    that hangs must not hang the node.
+    A writable pipe accepts at least `PIPE_BUF` bytes, so a line of at most
+    that many does not block; a longer one is cut. If the reader has stopped,
+    lines are dropped and counted in `lost`, so that a hanging log collector
+    does not block the node.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -27,16 +27,16 @@
         """Write a line that ends in a newline, or drop it."""
         encoded = line.encode('utf-8', 'replace')
         if len(encoded) > PIPE_BUF:
-            encoded = encoded[: PIPE_BUF - len(MORE)] + MORE
-        if self._try(encoded):
+            encoded = encoded[: PIPE_BUF - len(CUT_MARK)] + CUT_MARK
+        if self._write_now(encoded):
             self.lost = 0
         else:
             self.lost += 1
 
     def flush(self) -> None:
-        """Do nothing: each line is handed over as it is written."""
+        """Do nothing: lines are not buffered."""
 
-    def _try(self, encoded: bytes) -> bool:
+    def _write_now(self, encoded: bytes) -> bool:
         if not self._poll.poll(0):
             return False
         try:
--- a/hillfield/events/tests/test_clock.py
+++ b/hillfield/events/tests/test_clock.py
@@ -1,4 +1,4 @@
-"""Stamps respect causality and order all events."""
+"""Stamps are consistent with causality and order all events."""
 
 from collections.abc import Iterable
 
@@ -16,7 +16,8 @@
 Step = tuple[int, int, int]
 
 NODES = ('a', 'b', 'c')
-# Each step: who acts, how its wall clock moves, to whom a message goes.
+# Each step: the acting node, the change of its wall clock, the receiver of its
+# message.
 STEPS = st.lists(
     st.tuples(
         st.integers(0, 2),
@@ -35,7 +36,7 @@
 
 
 def run_steps(steps: Iterable[Step]) -> list[tuple[Stamp, str]]:
-    """Return entries in the order in which they were caused."""
+    """Return stamps and nodes in causal order."""
     clocks = {node: HybridClock() for node in NODES}
     walls = dict.fromkeys(NODES, 1000)
     caused = []
@@ -45,9 +46,9 @@
         sent = clocks[node].tick(walls[node])
         caused.append((sent, node))
         if other != node:
-            taken = clocks[other].merge(walls[other], sent)
-            assert taken > sent
-            caused.append((taken, other))
+            received = clocks[other].merge(walls[other], sent)
+            assert received > sent
+            caused.append((received, other))
     return caused
 
 
@@ -73,13 +74,15 @@
     assert [entry.order for entry in merged] == sorted(set(caused))
     assert len(merged) == len(entries)
     for node in NODES:
-        mine = [stamp for stamp, owner in caused if owner == node]
-        assert mine == [each.stamp for each in merged if each.node == node]
+        own_stamps = [stamp for stamp, owner in caused if owner == node]
+        assert own_stamps == [
+            each.stamp for each in merged if each.node == node
+        ]
 
 
 @settings(derandomize=True, max_examples=100, deadline=None)
 @given(STAMPS, STAMPS)
-def test_packing_keeps_the_order(one, other):
+def test_packing_preserves_the_order(one, other):
     numbers = (one.pack(), other.pack())
     assert sorted((one, other)) == [
         Stamp.unpack(each) for each in sorted(numbers)
--- a/hillfield/events/tests/test_timeline.py
+++ b/hillfield/events/tests/test_timeline.py
@@ -1,4 +1,4 @@
-"""The time line is bounded, filtered and logged within limits."""
+"""Bounds, filters and log limits of the time line."""
 
 import os
 from itertools import count, repeat
@@ -52,7 +52,7 @@
         return lines.read().splitlines()
 
 
-def test_flood_leaves_rare_events():
+def test_a_flood_does_not_displace_rare_events():
     timeline = make_timeline()
     timeline.record(STARTED)
     for _ in range(100):
@@ -109,7 +109,7 @@
     assert 'TARGET_EXPIRED' in lines[0]
 
 
-def test_texts_that_callers_choose_are_kept_short():
+def test_texts_chosen_by_callers_are_cut():
     timeline = Timeline(SETTINGS, logger=SilentLogger())
     long = 'x' * 32768
     timeline.record(replace(STARTED, detail=long, peer=long, account=long))
--- a/hillfield/events/timeline.py
+++ b/hillfield/events/timeline.py
@@ -1,4 +1,4 @@
-"""The time line of one process, bounded in memory and in log lines."""
+"""The time line of one process, with bounded memory and log lines."""
 
 from collections import deque
 from collections.abc import Callable
@@ -24,8 +24,8 @@
 class Timeline:
     """Keep the newest events and log them; implements `Journal`.
 
-    When it is full, the oldest event of the most frequent code goes, so that
-    a flood of one code leaves the rare events in place.
+    When it is full, the oldest event of the most frequent code is dropped, so
+    that a flood of one code does not displace rare events.
     """
 
     def __init__(
@@ -54,18 +54,18 @@
             self._logger.write(entry, suppressed)
 
     def stamp(self) -> Stamp:
-        """Return the stamp to send along with a message."""
+        """Return the stamp to send with a message."""
         return self._clock.tick(self._wall())
 
     def merge(self, remote: Stamp) -> Stamp:
-        """Take in the stamp that came with a message."""
+        """Merge the stamp of a received message."""
         return self._clock.merge(self._wall(), remote)
 
     def select(
         self,
         wanted: TimelineFilter = EVERYTHING,
     ) -> tuple[TimelineEntry, ...]:
-        """Return the wanted events in order."""
+        """Return the events that match, in order."""
         kept = chain.from_iterable(self._events.values())
         return sort_entries(filter(wanted.matches, kept))
 
--- a/hillfield/metrics/gauges.py
+++ b/hillfield/metrics/gauges.py
@@ -1,7 +1,7 @@
-"""Gauges that are read from the node when they are asked for.
+"""Gauges that are read from the node at each scrape.
 
-Nothing is stored per series, so services and targets that no longer exist
-leave no memory behind.
+Nothing is stored per series, so services and targets that no longer exist use
+no memory.
 """
 
 from collections.abc import Iterator
@@ -19,23 +19,23 @@
     TargetCount,
 )
 
-PLAIN: Final = (
-    ('members', 'Nodes that are alive as seen here.'),
-    ('configuration_revision', 'Newest revision in force here.'),
+UNLABELLED_GAUGES: Final = (
+    ('members', 'Live nodes as seen by this node.'),
+    ('configuration_revision', 'Newest revision in force at this node.'),
     ('configuration_age', 'Seconds since that revision was adopted.'),
     (
         'configuration_unconfirmed',
-        'Seconds since a node in reach found no other revision in the store.',
+        'Seconds since a reachable node last confirmed the entries in the store.',
     ),
     ('timeline_events', 'Events kept in the time line.'),
-    ('connections', "Callers' open connections."),
+    ('connections', 'Open connections of callers.'),
     ('in_flight', 'Requests in flight.'),
     ('queued', 'Requests that wait for a slot.'),
 )
 
 
 class ReadingCollector(Collector):
-    """Turn a node's reading into metric families."""
+    """Convert a node's reading to metric families."""
 
     def __init__(self, source: ReadingSource) -> None:
         """Read from this source at each scrape."""
@@ -44,26 +44,26 @@
     def collect(self) -> Iterator[Metric]:
         """Yield the families of one reading."""
         reading = self._source.read_metrics()
-        yield from _make_plain(reading)
+        yield from _make_unlabelled(reading)
         yield _make_targets(reading.targets)
         yield from _make_links(reading.links)
         yield from _make_limits(reading.limits)
 
     def describe(self) -> list[Metric]:
-        """Return nothing: names are checked when they are collected."""
+        """Return nothing; names are checked when metrics are collected."""
         return []
 
 
-def _make_plain(reading: NodeReading) -> Iterator[Metric]:
-    for name, meaning in PLAIN:
+def _make_unlabelled(reading: NodeReading) -> Iterator[Metric]:
+    for name, help_text in UNLABELLED_GAUGES:
         number = float(getattr(reading, name))
-        yield GaugeMetricFamily(f'hillfield_{name}', meaning, number)
+        yield GaugeMetricFamily(f'hillfield_{name}', help_text, number)
 
 
 def _make_targets(counts: tuple[TargetCount, ...]) -> Metric:
     family = GaugeMetricFamily(
         'hillfield_targets',
-        'Targets by service and state as seen here.',
+        'Targets by service and state as seen by this node.',
         labels=('service', 'state'),
     )
     for each in counts:
@@ -74,12 +74,12 @@
 def _make_links(links: tuple[LinkReading, ...]) -> Iterator[Metric]:
     states = GaugeMetricFamily(
         'hillfield_link_up',
-        'Whether the link to a neighbour works (1) or not (0).',
+        'Whether the link to a peer is up (1) or not (0).',
         labels=('peer',),
     )
     queues = GaugeMetricFamily(
         'hillfield_link_queued_bytes',
-        'Bytes that wait to be sent to a neighbour.',
+        'Bytes that wait to be sent to a peer.',
         labels=('peer',),
     )
     for link in links:
@@ -92,12 +92,12 @@
 def _make_limits(limits: tuple[LimitReading, ...]) -> Iterator[Metric]:
     targets = GaugeMetricFamily(
         'hillfield_limited_targets',
-        'Targets that name how many requests a second they take.',
+        'Targets that name a rate limit.',
         labels=('service',),
     )
     rates = GaugeMetricFamily(
         'hillfield_limited_rate',
-        'Requests a second that these take together.',
+        'Sum of the rate limits of these targets, in requests a second.',
         labels=('service',),
     )
     for limit in limits:
--- a/hillfield/metrics/node.py
+++ b/hillfield/metrics/node.py
@@ -17,17 +17,17 @@
 
 
 class NodeMetrics(RequestMetrics):
-    """Count what the node does, in a registry of its own.
+    """Count the activity of one node, in a separate registry.
 
-    Labels come from the configuration and from fixed sets of words, never
-    from what a caller sends, so the number of series is bounded.
+    Label values come from the configuration and from fixed sets of words,
+    never from requests of callers, so the number of series is bounded.
     """
 
     def __init__(self) -> None:
         """Register all metrics.
 
-        The library's own series of when each counter began are left out, in
-        the whole process: they would double the number of series.
+        The library's series with the creation time of each counter are
+        disabled in the whole process: they double the number of series.
         """
         disable_created_metrics()  # type: ignore[no-untyped-call]
         registry = CollectorRegistry()
@@ -43,7 +43,7 @@
         self._store_calls = BoundCounter(
             registry,
             'hillfield_store_calls',
-            'Calls to the key-value service, by kind and end.',
+            'Calls to the store, by kind and result.',
             'kind',
             'end',
         )
@@ -56,54 +56,54 @@
         self._datagrams = BoundCounter(
             registry,
             'hillfield_datagrams',
-            'Load reports between nodes, by direction.',
+            'Datagrams between nodes, by direction.',
             'direction',
         )
         self._unread_headers = BoundCounter(
             registry,
             'hillfield_unread_headers',
-            "Headers of the target's answers that no part reads, by name.",
+            "Headers of the target's answers that this version does not know, by name.",
             'header',
         )
         self._late = Counter(
             'hillfield_loop_late_seconds',
-            'Seconds in which the node read nothing that had come for it.',
+            'Seconds by which the event loop was late, and read no messages.',
             registry=registry,
         )
         ProcessCollector(registry=registry)
 
     def watch(self, source: ReadingSource) -> None:
-        """Read gauges from this source at each scrape."""
+        """Register a source of gauges, which is read at each scrape."""
         self.registry.register(ReadingCollector(source))
 
-    def note_decision(self, service: str, kind: str) -> None:
+    def record_decision(self, service: str, kind: str) -> None:
         """Count a decision, such as an ejection."""
         self._decisions.count((service, kind))
 
-    def note_store_calls(self, kind: str, end: str, times: int) -> None:
+    def record_store_calls(self, kind: str, end: str, times: int) -> None:
         """Count calls to the store; `end` is `ok` or `failed`."""
         self._store_calls.count((kind, end), times)
 
-    def note_sent(self, size: int) -> None:
+    def record_sent(self, size: int) -> None:
         """Count bytes sent to other nodes."""
         self._link_bytes.count(('sent',), size)
 
-    def note_received(self, size: int) -> None:
+    def record_received(self, size: int) -> None:
         """Count bytes received from other nodes."""
         self._link_bytes.count(('received',), size)
 
-    def note_datagrams(self, direction: str, times: int) -> None:
-        """Count load reports: `sent`, `received` or `passed` on."""
+    def record_datagrams(self, direction: str, times: int) -> None:
+        """Count datagrams: `sent`, `received` or `passed` (forwarded)."""
         self._datagrams.count((direction,), times)
 
     def note_unread_header(self, name: str) -> None:
-        """Count a header that no part reads; few names are told apart."""
+        """Count an unknown header; few names are distinguished."""
         self._unread_headers.count((name,))
 
-    def note_late(self, seconds: float) -> None:
+    def record_late(self, seconds: float) -> None:
         """Count seconds for which the node's loop was late."""
         self._late.inc(seconds)
 
     def render(self) -> Iterator[bytes]:
-        """Yield the text format of Prometheus in pieces of short work."""
+        """Yield the text format of Prometheus in pieces that are quick to render."""
         return render_pieces(self.registry)
--- a/hillfield/metrics/pieces.py
+++ b/hillfield/metrics/pieces.py
@@ -1,4 +1,4 @@
-"""The text format of Prometheus, in pieces that leave the loop free."""
+"""The text format of Prometheus, in pieces that do not block the loop."""
 
 from collections.abc import Iterator, Sequence
 from typing import Final
@@ -8,15 +8,16 @@
 from prometheus_client.metrics_core import Metric
 from prometheus_client.samples import Sample
 
-# Rendering so many takes less time than the library needs to collect a family.
+# Rendering this many samples takes less time than the library needs to collect
+# one family.
 SAMPLES_PER_PIECE: Final = 32
 COMMENT: Final = b'#'
-# Kinds whose samples stand alone; those of a histogram stay together.
+# Types whose samples are independent; those of a histogram stay together.
 SEPARABLE: Final = frozenset(('counter', 'gauge'))
 
 
 class _OneFamily(Struct, frozen=True):
-    """Let the library render a single family."""
+    """Pass a single family to the renderer of the library."""
 
     family: Metric
 
@@ -26,7 +27,7 @@
 
 
 def render_pieces(registry: CollectorRegistry) -> Iterator[bytes]:
-    """Yield the metrics; joined, they are what the library renders."""
+    """Yield the metrics; joined, they equal the output of the library."""
     for family in registry.collect():
         yield from _render_family(family)
 
--- a/hillfield/metrics/readings.py
+++ b/hillfield/metrics/readings.py
@@ -1,4 +1,4 @@
-"""What the metrics read from the node at each scrape."""
+"""Values that the metrics read from the node at each scrape."""
 
 from math import nan
 from typing import Protocol
@@ -7,7 +7,7 @@
 
 
 class TargetCount(Struct, frozen=True):
-    """Count the targets of one service in one state as seen here."""
+    """Count the targets of one service in one state, as seen by this node."""
 
     service: str
     state: str
@@ -15,7 +15,7 @@
 
 
 class LimitReading(Struct, frozen=True):
-    """Count the targets of a service that name limits, as seen here.
+    """Count the targets of a service that name a rate limit.
 
     `rate` is the sum of their limits in requests a second.
     """
@@ -26,7 +26,7 @@
 
 
 class LinkReading(Struct, frozen=True):
-    """Tell whether the link to a neighbour works, and its queue in bytes."""
+    """Say whether the link to a peer is up; `queued` is in bytes."""
 
     peer: str
     is_up: bool
@@ -34,12 +34,11 @@
 
 
 class NodeReading(Struct, frozen=True):
-    """Hold the values that are read rather than counted.
+    """Hold the present values of all gauges.
 
     `configuration_age` is seconds since the newest revision was adopted,
-    `configuration_unconfirmed` since a node in reach found no other in the
-    store (NaN: not known);
-    `connections` counts callers' connections, `in_flight` their requests.
+    `configuration_unconfirmed` since a reachable node last confirmed the
+    entries in the store (NaN: unknown); `connections` counts callers' connections, `in_flight` their requests.
     """
 
     targets: tuple[TargetCount, ...] = ()
@@ -56,7 +55,7 @@
 
 
 class ReadingSource(Protocol):
-    """Read the node's present values; called once a scrape."""
+    """Read the node's present values; called once per scrape."""
 
     def read_metrics(self) -> NodeReading:
         """Return the present values."""
--- a/hillfield/metrics/requests.py
+++ b/hillfield/metrics/requests.py
@@ -1,4 +1,4 @@
-"""What is counted of requests."""
+"""Metrics of requests."""
 
 from typing import Final
 
@@ -7,7 +7,7 @@
 from hillfield.metrics.counters import BoundCounter
 from hillfield.model import Outcome
 
-# Seconds; close together around the 1.6 ms that a node may add.
+# Seconds; narrow around 1.6 ms, the limit of the latency that a node may add.
 ADDED_BUCKETS: Final = (
     0.0001,
     0.0002,
@@ -26,7 +26,7 @@
 
 
 class RequestMetrics:
-    """Count requests by how they ended."""
+    """Count requests by outcome, and measure the added latency."""
 
     def __init__(self, registry: CollectorRegistry) -> None:
         """Register the metrics of requests."""
@@ -40,14 +40,14 @@
         self._retries = BoundCounter(
             registry,
             'hillfield_retries',
-            'Further attempts of a request, by reason.',
+            'Retries of requests, by reason.',
             'reason',
         )
         self._routes = BoundCounter(
             registry,
             'hillfield_route_requests',
-            'Requests by the age of their route here, and whether a good '
-            'answer came.',
+            'Requests by the age of their route at this node, and whether a '
+            'good answer came.',
             'age',
             'served',
         )
@@ -59,7 +59,7 @@
         )
         self._added = Histogram(
             'hillfield_added_seconds',
-            'Time that the node adds to a request.',
+            'Latency that the node adds to a request, in seconds.',
             buckets=ADDED_BUCKETS,
             registry=registry,
         )
@@ -69,17 +69,17 @@
         self._requests.count((service, outcome))
 
     def note_added(self, seconds: float) -> None:
-        """Record the time that the node added to a request."""
+        """Record the seconds that the node added to a request's latency."""
         self._added.observe(seconds)
 
     def note_retry(self, reason: str) -> None:
-        """Count a further attempt."""
+        """Count a retry."""
         self._retries.count((reason,))
 
     def note_route(self, age: str, served: bool) -> None:
-        """Count a request by how long its route has been known here."""
+        """Count a request by the age of its route at this node."""
         self._routes.count((age, 'yes' if served else 'no'))
 
-    def note_refusal(self, reason: str) -> None:
+    def record_refusal(self, reason: str) -> None:
         """Count a request that the node refused."""
         self._refusals.count((reason,))
--- a/hillfield/metrics/tests/test_node.py
+++ b/hillfield/metrics/tests/test_node.py
@@ -1,4 +1,4 @@
-"""Metrics come out as they were counted and read."""
+"""Counters and gauges as Prometheus reads them."""
 
 from typing import Any
 
@@ -37,11 +37,11 @@
     for outcome in (Outcome.ANSWERED, Outcome.ANSWERED, Outcome.NOT_RUN):
         metrics.note_request('search', outcome)
     metrics.note_retry('shed')
-    metrics.note_refusal('queue-full')
-    metrics.note_decision('search', 'ejected')
-    metrics.note_store_calls('swap', 'ok', 1)
-    metrics.note_sent(10)
-    metrics.note_received(20)
+    metrics.record_refusal('queue-full')
+    metrics.record_decision('search', 'ejected')
+    metrics.record_store_calls('swap', 'ok', 1)
+    metrics.record_sent(10)
+    metrics.record_received(20)
     for name, labels, expected in (
         ('requests', {'service': 'search', 'outcome': 'answered'}, 2),
         ('requests', {'service': 'search', 'outcome': 'not-run'}, 1),
@@ -56,7 +56,7 @@
         assert found == expected, name
 
 
-def test_added_time_falls_into_the_bucket_of_the_promise():
+def test_added_latency_is_counted_in_the_bucket_of_its_limit():
     metrics = NodeMetrics()
     for seconds in (0.0015, 0.0017):
         metrics.note_added(seconds)
@@ -87,10 +87,10 @@
     assert read_sample(other, 'hillfield_retries_total', reason='shed') is None
 
 
-def test_pieces_join_to_what_the_library_renders():
+def test_joined_pieces_equal_the_output_of_the_library():
     metrics = NodeMetrics()
     for number in range(100):
-        metrics.note_decision(f'service-{number}', 'ejected')
+        metrics.record_decision(f'service-{number}', 'ejected')
     metrics.note_added(0.001)
     metrics.watch(FixedSource())
     pieces = [piece for piece in metrics.render() if b'process_' not in piece]
--- a/hillfield/metrics/tests/test_page.py
+++ b/hillfield/metrics/tests/test_page.py
@@ -1,4 +1,4 @@
-"""The operators' page names the metrics that there are."""
+"""The operators' page lists exactly the existing metrics."""
 
 import re
 from pathlib import Path
@@ -19,11 +19,11 @@
     typed = re.findall(
         r'# TYPE (hillfield_\S+) (\w+)', b''.join(metrics.render()).decode()
     )
-    there = {name for name, _ in typed}
+    existing = {name for name, _ in typed}
     rows = [
         line
         for line in PAGE.read_text('utf-8').splitlines()
         if line.startswith('|')
     ]
-    told = set(re.findall(r'`(hillfield_\w+)`', '\n'.join(rows)))
-    assert told == there
+    documented = set(re.findall(r'`(hillfield_\w+)`', '\n'.join(rows)))
+    assert documented == existing
--- a/hillfield/node/counting.py
+++ b/hillfield/node/counting.py
@@ -32,8 +32,8 @@
         before, now = self._links, self._fleet.links.counts
         self._links = now
         metrics = self._parts.metrics
-        metrics.note_sent(now.sent_bytes - before.sent_bytes)
-        metrics.note_received(now.received_bytes - before.received_bytes)
+        metrics.record_sent(now.sent_bytes - before.sent_bytes)
+        metrics.record_received(now.received_bytes - before.received_bytes)
 
     def _export_calls(self) -> None:
         counts = self._parts.store.counts
@@ -42,6 +42,6 @@
         self._started = counts.started.copy()
         self._failed = counts.failed.copy()
         for kind, times in done.items():
-            self._parts.metrics.note_store_calls(kind, DONE, times)
+            self._parts.metrics.record_store_calls(kind, DONE, times)
         for broken, amount in failed.items():
-            self._parts.metrics.note_store_calls(broken, FAILED, amount)
+            self._parts.metrics.record_store_calls(broken, FAILED, amount)
--- a/hillfield/node/exchanges.py
+++ b/hillfield/node/exchanges.py
@@ -29,7 +29,7 @@
         parts.dispatchers.apply_report,
         parts.proxy.deliver,
     )
-    reporting.socket.counter = parts.metrics.note_datagrams
+    reporting.socket.counter = parts.metrics.record_datagrams
     return reporting
 
 
@@ -40,7 +40,7 @@
         parts.settings.cluster_key.encode(),
         Random(),
     )
-    quotas.socket.counter = parts.metrics.note_datagrams
+    quotas.socket.counter = parts.metrics.record_datagrams
     fittings.planner.quotas = quotas
     return quotas
 
--- a/hillfield/node/journal.py
+++ b/hillfield/node/journal.py
@@ -21,9 +21,9 @@
         """Count and forward an event."""
         if is_decision(occurrence.code):
             kind = occurrence.code.name.lower()
-            self._metrics.note_decision(occurrence.service, kind)
+            self._metrics.record_decision(occurrence.service, kind)
         elif occurrence.code is EventCode.BYTES_EXHAUSTED:
-            self._metrics.note_refusal(occurrence.detail)
+            self._metrics.record_refusal(occurrence.detail)
         self._journal.record(occurrence)
 
 
--- a/hillfield/node/lateness.py
+++ b/hillfield/node/lateness.py
@@ -70,7 +70,7 @@
         late = self._lateness.check(now)
         if not late:
             return
-        self._metrics.note_late(late)
+        self._metrics.record_late(late)
         if late >= RECORDED:
             self._record(late, work)
         for listener in self.listeners:
