--- a/hillfield/control/connections.py
+++ b/hillfield/control/connections.py
@@ -21,21 +21,21 @@
 
     def __init__(self, host_addresses: HostAddresses) -> None:
         """Start without connections."""
-        self.connections: dict[object, bool] = {}
+        self.counted: dict[object, bool] = {}
         self._host_addresses = host_addresses
 
     def admit(self, connection: object, ip: str) -> bool:
         """Count a connection; False if the limit of its origin is reached."""
         is_local = self._host_addresses.check_sender(ip) is None
         maximum = MAXIMUM_LOCAL if is_local else MAXIMUM_REMOTE
-        if list(self.connections.values()).count(is_local) >= maximum:
+        if list(self.counted.values()).count(is_local) >= maximum:
             return False
-        self.connections[connection] = is_local
+        self.counted[connection] = is_local
         return True
 
     def release(self, connection: object) -> None:
         """Remove a connection from the count."""
-        self.connections.pop(connection, None)
+        self.counted.pop(connection, None)
 
 
 class BoundedServer(HTTPServer):
--- a/hillfield/control/tests/test_server.py
+++ b/hillfield/control/tests/test_server.py
@@ -282,14 +282,14 @@
     running: RunningServer,
 ) -> None:
     silent = [object() for _ in range(MAXIMUM_REMOTE)]
-    held = running.server.connections.bound.connections
+    held = running.server.connections.bound.counted
     held.update(dict.fromkeys(silent, False))
     assert running.call('/v1/targets', 'POST', GOOD)[0] == 200
 
 
 def test_closes_connections_beyond_the_limit(running: RunningServer) -> None:
     silent = [object() for _ in range(MAXIMUM_LOCAL)]
-    held = running.server.connections.bound.connections
+    held = running.server.connections.bound.counted
     held.update(dict.fromkeys(silent, True))
     with pytest.raises(StreamClosedError):
         running.run(running.write_until_closed, b'')
--- a/hillfield/node/crashexchange.py
+++ b/hillfield/node/crashexchange.py
@@ -59,7 +59,7 @@
         book.on_findings = self._broadcast
 
     def start(self) -> None:
-        """Open the socket; raises `OSError` when it can't be had."""
+        """Open the socket; raises `OSError` if it can't be bound."""
         self.socket.start()
         self._ticking = find_timer().every(CHECK_INTERVAL, self._tick)
 
--- a/hillfield/node/tests/test_reporting.py
+++ b/hillfield/node/tests/test_reporting.py
@@ -62,7 +62,7 @@
             self.received.append(report)
         return ()
 
-    def join(self, hosts):
+    def join_fleet(self, hosts):
         records = {host.record.name: host.record for host in hosts}
         core: Any = SimpleNamespace(
             own=SimpleNamespace(record=self.record),
@@ -87,7 +87,7 @@
     for host in hosts:
         host.reporting.start()
     for host in hosts:
-        host.join(hosts)
+        host.join_fleet(hosts)
     await asyncio.sleep(0.1)
     return hosts
 
@@ -115,7 +115,7 @@
 
     async def run_scenario():
         hosts = await open_hosts(port, 'aaa')
-        hosts[1].join(hosts[1:])
+        hosts[1].join_fleet(hosts[1:])
         for host in hosts:
             host.received.clear()
             host.counted.clear()
