--- a/hillfield/announcements/__init__.py
+++ b/hillfield/announcements/__init__.py
@@ -1,6 +1,6 @@
 """Announcements by which targets register at the node of their host."""
 
-from hillfield.announcements.incarnations import Life
+from hillfield.announcements.incarnations import AnnouncedIncarnation
 from hillfield.announcements.messages import (
     Announcement,
     AnnouncementProblem,
@@ -12,7 +12,7 @@
 __all__ = (
     'Announcement',
     'AnnouncementProblem',
-    'Life',
+    'AnnouncedIncarnation',
     'Refusal',
     'TargetRegistry',
     'read_announcement',
--- a/hillfield/announcements/ended_incarnations.py
+++ b/hillfield/announcements/ended_incarnations.py
@@ -2,7 +2,7 @@
 
 from typing import Final
 
-from hillfield.announcements.incarnations import Life, Endpoint
+from hillfield.announcements.incarnations import AnnouncedIncarnation, Endpoint
 from hillfield.announcements.messages import (
     Announcement,
     AnnouncementProblem,
@@ -27,7 +27,7 @@
         self._incarnations: dict[tuple[Endpoint, int], None] = {}
         self._last_ended: dict[Endpoint, float] = {}
 
-    def mark_ended(self, now: float, ended: Life) -> None:
+    def mark_ended(self, now: float, ended: AnnouncedIncarnation) -> None:
         """Record that an incarnation has ended."""
         identity = ended.reported.id
         endpoint = Endpoint(identity.service, identity.address)
--- a/hillfield/announcements/incarnations.py
+++ b/hillfield/announcements/incarnations.py
@@ -19,26 +19,26 @@
     address: Address
 
 
-class Life(Struct, frozen=True):
+class AnnouncedIncarnation(Struct, frozen=True):
     """Hold a target's newest announcement and what is published of it.
 
-    `reported` is the target as announced, `shown` as published to other
-    nodes, without the load. `heard`, `last_change` and `drain_started` are
-    monotonic seconds: the newest heartbeat, the newest change of `shown` and
+    `reported` is the target as announced, `published` as published to other
+    nodes, without the load. `last_heartbeat`, `last_change` and `drain_started` are
+    monotonic seconds: the newest heartbeat, the newest change of `published` and
     the start of the drain. `chose_incarnation` is whether the target itself
     set its incarnation.
     """
 
     reported: Target
-    shown: Target
-    heard: float
+    published: Target
+    last_heartbeat: float
     last_change: float
     chose_incarnation: bool
     drain_started: float | None = None
 
     def is_silent(self, now: float, settings: AnnouncementSettings) -> bool:
         """Return whether the last heartbeat is older than the expiry."""
-        return now - self.heard > settings.expiry
+        return now - self.last_heartbeat > settings.expiry
 
     def is_expired(self, now: float, settings: AnnouncementSettings) -> bool:
         """Return whether the incarnation is to be removed."""
@@ -48,9 +48,13 @@
             return True
         return now - self.drain_started > settings.drain_seconds
 
-    def discount_pause(self, now: float, seconds: float) -> 'Life':
+    def discount_pause(
+        self, now: float, seconds: float
+    ) -> 'AnnouncedIncarnation':
         """Return a copy whose last heartbeat is this many seconds later."""
-        return replace(self, heard=min(now, self.heard + seconds))
+        return replace(
+            self, last_heartbeat=min(now, self.last_heartbeat + seconds)
+        )
 
     def is_continued_by(
         self,
@@ -95,7 +99,9 @@
     )
 
 
-def start_incarnation(now: float, reported: Target, *, chosen: bool) -> Life:
+def start_incarnation(
+    now: float, reported: Target, *, chosen: bool
+) -> AnnouncedIncarnation:
     """Build the state after the first announcement.
 
     `chosen` is whether the target itself set its incarnation.
@@ -103,21 +109,23 @@
     without_load = replace(reported, load=None)
     is_draining = reported.state is TargetState.DRAINING
     started = now if is_draining else None
-    return Life(reported, without_load, now, now, chosen, started)
+    return AnnouncedIncarnation(
+        reported, without_load, now, now, chosen, started
+    )
 
 
 def update_incarnation(
     now: float,
-    current: Life,
+    current: AnnouncedIncarnation,
     reported: Target,
     settings: AnnouncementSettings,
-) -> Life:
+) -> AnnouncedIncarnation:
     """Apply the next announcement; a drain is never revoked."""
     if current.drain_started is not None:
         reported = replace(reported, state=TargetState.DRAINING)
-    updated = replace(current, reported=reported, heard=now)
+    updated = replace(current, reported=reported, last_heartbeat=now)
     without_load = replace(reported, load=None)
-    if without_load == current.shown or not _is_change_due(
+    if without_load == current.published or not _is_change_due(
         now, current, without_load, settings
     ):
         return updated
@@ -125,17 +133,17 @@
     if started is None and reported.state is TargetState.DRAINING:
         started = now
     return replace(
-        updated, shown=without_load, last_change=now, drain_started=started
+        updated, published=without_load, last_change=now, drain_started=started
     )
 
 
 def _is_change_due(
     now: float,
-    current: Life,
+    current: AnnouncedIncarnation,
     reported: Target,
     settings: AnnouncementSettings,
 ) -> bool:
-    if _is_urgent(current.shown.state, reported.state):
+    if _is_urgent(current.published.state, reported.state):
         return True
     return now - current.last_change >= settings.change_interval
 
--- a/hillfield/announcements/registry.py
+++ b/hillfield/announcements/registry.py
@@ -4,11 +4,11 @@
 
 from hillfield.announcements.ended_incarnations import EndedIncarnations
 from hillfield.announcements.incarnations import (
-    Life,
+    AnnouncedIncarnation,
     Endpoint,
+    make_target,
     start_incarnation,
     update_incarnation,
-    make_target,
 )
 from hillfield.announcements.messages import (
     Announcement,
@@ -32,7 +32,7 @@
         self.version = 0
         self._settings = settings
         self._journal = journal
-        self._incarnations: dict[Endpoint, Life] = {}
+        self._incarnations: dict[Endpoint, AnnouncedIncarnation] = {}
         self._ended = EndedIncarnations(settings.announcements)
         self._targets: tuple[Target, ...] = ()
 
@@ -84,9 +84,9 @@
             return Error(make_stale_problem(incarnation, known))
         self._incarnations.pop(endpoint)
         self._ended.mark_ended(now, current)
-        self._record(EventCode.TARGET_WITHDRAWN, current.shown)
+        self._record(EventCode.TARGET_WITHDRAWN, current.published)
         self._publish()
-        return Ok(current.shown)
+        return Ok(current.published)
 
     def targets(self, now: float) -> tuple[Target, ...]:
         """Remove silent targets and return those to publish to other nodes.
@@ -96,7 +96,7 @@
         self._expire(now)
         return self._targets
 
-    def excuse(self, now: float, seconds: float) -> None:
+    def discount_pause(self, now: float, seconds: float) -> None:
         """Do not count a pause of this process as silence of the targets.
 
         Heartbeats that came during the pause have not been read yet.
@@ -106,7 +106,7 @@
             for endpoint, current in self._incarnations.items()
         }
 
-    def lives(self, now: float) -> tuple[Life, ...]:
+    def incarnations(self, now: float) -> tuple[AnnouncedIncarnation, ...]:
         """Return all incarnations, for operators, ordered by endpoint."""
         self._expire(now)
         return tuple(
@@ -116,7 +116,7 @@
     def _continue(
         self,
         now: float,
-        current: Life,
+        current: AnnouncedIncarnation,
         announcement: Announcement,
     ) -> Result[Target, AnnouncementProblem]:
         known = current.reported.id.incarnation
@@ -130,10 +130,10 @@
         self._incarnations[
             Endpoint(announcement.service, announcement.address)
         ] = updated
-        if updated.shown is not current.shown:
-            self._record(EventCode.TARGET_CHANGED, updated.shown)
+        if updated.published is not current.published:
+            self._record(EventCode.TARGET_CHANGED, updated.published)
             self._publish()
-        return Ok(updated.shown)
+        return Ok(updated.published)
 
     def _begin(
         self,
@@ -154,9 +154,9 @@
         )
         current = start_incarnation(now, reported, chosen=chosen is not None)
         self._incarnations[endpoint] = current
-        self._record(EventCode.TARGET_ANNOUNCED, current.shown)
+        self._record(EventCode.TARGET_ANNOUNCED, current.published)
         self._publish()
-        return current.shown
+        return current.published
 
     def _expire(self, now: float) -> None:
         settings = self._settings.announcements
@@ -169,14 +169,14 @@
             current = self._incarnations.pop(endpoint)
             if current.drain_started is not None:
                 self._ended.mark_ended(now, current)
-            self._record(EventCode.TARGET_EXPIRED, current.shown)
+            self._record(EventCode.TARGET_EXPIRED, current.published)
         if expired:
             self._publish()
 
     def _publish(self) -> None:
         self.version += 1
         ordered = sorted(self._incarnations.items())
-        self._targets = tuple(current.shown for _, current in ordered)
+        self._targets = tuple(current.published for _, current in ordered)
 
     def _record(self, code: EventCode, target: Target) -> None:
         self._journal.record(
--- a/hillfield/announcements/tests/test_registry.py
+++ b/hillfield/announcements/tests/test_registry.py
@@ -66,7 +66,7 @@
     assert registry.targets(19) is before
     assert registry.version == version
     assert registry.targets(19)[0].load is None
-    assert registry.lives(19)[0].reported.load == 19
+    assert registry.incarnations(19)[0].reported.load == 19
 
 
 def test_drained_incarnation_never_becomes_ready():
--- a/hillfield/charts/__init__.py
+++ b/hillfield/charts/__init__.py
@@ -9,7 +9,7 @@
 from hillfield.charts.transitions import (
     BoundTransition,
     ChartError,
-    Refusal,
+    MissingTransition,
     Transition,
 )
 
@@ -18,7 +18,7 @@
     'BoundTransition',
     'Chart',
     'ChartError',
-    'Refusal',
+    'MissingTransition',
     'Transition',
     'parse_chart',
     'read_chart',
--- a/hillfield/charts/charts.py
+++ b/hillfield/charts/charts.py
@@ -14,7 +14,7 @@
     Actions,
     BoundTransition,
     ChartError,
-    Refusal,
+    MissingTransition,
     States,
     Transition,
 )
@@ -35,10 +35,14 @@
         self,
         state: States,
         trigger: Triggers,
-    ) -> BoundTransition[States, Actions] | Refusal:
+    ) -> BoundTransition[States, Actions] | MissingTransition:
         """Return the transition for the trigger, or a report of its absence."""
         transition = self.transitions.get((state, trigger))
-        return Refusal(state, trigger) if transition is None else transition
+        return (
+            MissingTransition(state, trigger)
+            if transition is None
+            else transition
+        )
 
 
 class Chart(Struct, frozen=True):
@@ -53,17 +57,23 @@
     >>> chart.follow('closed', 'push')
     Transition(state='open', action='ring')
     >>> chart.follow('open', 'push')
-    Refusal(state='open', trigger='push')
+    MissingTransition(state='open', trigger='push')
     """
 
     initial: str
     states: frozenset[str]
     transitions: Mapping[tuple[str, str], Transition]
 
-    def follow(self, state: str, trigger: str) -> Transition | Refusal:
+    def follow(
+        self, state: str, trigger: str
+    ) -> Transition | MissingTransition:
         """Return the transition for the trigger, or a report of its absence."""
         transition = self.transitions.get((state, trigger))
-        return Refusal(state, trigger) if transition is None else transition
+        return (
+            MissingTransition(state, trigger)
+            if transition is None
+            else transition
+        )
 
     def bind(
         self,
--- a/hillfield/charts/tests/test_charts.py
+++ b/hillfield/charts/tests/test_charts.py
@@ -7,7 +7,7 @@
 from hillfield.charts import (
     BoundTransition,
     ChartError,
-    Refusal,
+    MissingTransition,
     parse_chart,
     read_chart,
 )
@@ -41,7 +41,7 @@
     step = chart.follow(chart.initial, DoorTrigger.PUSH)
     assert step == BoundTransition(DoorState.OPEN, DoorAction.RING)
     refusal = chart.follow(chart.initial, DoorTrigger.PULL)
-    assert refusal == Refusal('closed', 'pull')
+    assert refusal == MissingTransition('closed', 'pull')
 
 
 @pytest.mark.parametrize(
--- a/hillfield/charts/transitions.py
+++ b/hillfield/charts/transitions.py
@@ -20,7 +20,7 @@
     action: str
 
 
-class Refusal(Struct, frozen=True):
+class MissingTransition(Struct, frozen=True):
     """Report that the chart has no such transition."""
 
     state: str
--- a/hillfield/clocks/clocks.py
+++ b/hillfield/clocks/clocks.py
@@ -9,7 +9,7 @@
 from typing import Final
 
 # Seconds by which due work may be late without anything having been missed.
-TOLERATED: Final = 0.05
+LATENESS_TOLERANCE: Final = 0.05
 _NANOSECONDS_PER_MILLISECOND: Final = 1_000_000
 
 
--- a/hillfield/control/ports.py
+++ b/hillfield/control/ports.py
@@ -5,8 +5,8 @@
 
 from msgspec import Struct
 
-from hillfield.clocks import monotonic, read_wall
 from hillfield.announcements import TargetRegistry
+from hillfield.clocks import monotonic, read_wall
 from hillfield.control.loadpages import ServiceLoad
 from hillfield.control.pages import (
     ConfigurationPage,
--- a/hillfield/control/server.py
+++ b/hillfield/control/server.py
@@ -7,6 +7,7 @@
 
 from hillfield.control.answers import NotFound
 from hillfield.control.connections import BoundedServer, ConnectionLimits
+from hillfield.control.hostaddresses import HostAddresses
 from hillfield.control.inquiries import (
     ConfigurationHandler,
     ExplanationHandler,
@@ -17,7 +18,6 @@
     TimelineHandler,
 )
 from hillfield.control.load import LoadHandler
-from hillfield.control.hostaddresses import HostAddresses
 from hillfield.control.plainserver import ignore_request
 from hillfield.control.ports import ControlPorts
 from hillfield.control.refused import RefusalHandler, RefusedHandler
--- a/hillfield/control/targets.py
+++ b/hillfield/control/targets.py
@@ -5,9 +5,9 @@
 from expression import Result
 
 from hillfield.announcements import (
+    AnnouncedIncarnation,
     Announcement,
     AnnouncementProblem,
-    Life,
     Refusal,
     read_announcement,
 )
@@ -89,8 +89,8 @@
         now = ports.read_monotonic()
         own = [
             show_incarnation(now, incarnation)
-            for incarnation in ports.registry.lives(now)
-            if _is_of_service(incarnation.shown, service)
+            for incarnation in ports.registry.incarnations(now)
+            if _is_of_service(incarnation.published, service)
         ]
         targets = ports.view.list_targets()
         known = [
@@ -175,10 +175,14 @@
     )
 
 
-def show_incarnation(now: float, incarnation: Life) -> TargetPage:
+def show_incarnation(
+    now: float, incarnation: AnnouncedIncarnation
+) -> TargetPage:
     """Return the page of a target of this host, with its newest load."""
     return show_target(
-        incarnation.shown, incarnation.reported.load, now - incarnation.heard
+        incarnation.published,
+        incarnation.reported.load,
+        now - incarnation.last_heartbeat,
     )
 
 
--- a/hillfield/control/tests/test_server.py
+++ b/hillfield/control/tests/test_server.py
@@ -22,7 +22,7 @@
     Readiness,
     ServicePage,
 )
-from hillfield.control.connections import MAXIMUM_REMOTE, MAXIMUM_LOCAL
+from hillfield.control.connections import MAXIMUM_LOCAL, MAXIMUM_REMOTE
 from hillfield.control.hostaddresses import HostAddresses
 from hillfield.events import EventCode, SilentLogger, Timeline
 from hillfield.metrics import NodeMetrics
--- a/hillfield/crashes/__init__.py
+++ b/hillfield/crashes/__init__.py
@@ -1,39 +1,39 @@
 """Requests that make targets exit, recognized by fingerprint and refused."""
 
-from hillfield.crashes.comparing import Asking
-from hillfield.crashes.fingerprints import Fingerprinter, Likeness
-from hillfield.crashes.ledger import CrashLedger, split_rows
+from hillfield.crashes.comparing import ComparisonTimer
+from hillfield.crashes.fingerprints import Fingerprinter, RequestIdentity
 from hillfield.crashes.messages import (
     ClearRow,
     Comparison,
     CrashCodec,
-    EndRow,
+    ExitRow,
     Findings,
     Inquiry,
     Message,
-    StoredEnds,
+    StoredExits,
 )
 from hillfield.crashes.refusing import describe_refusal
-from hillfield.crashes.runs import LostRuns, Run, TargetEnd
+from hillfield.crashes.registry import CrashRegistry, split_rows
+from hillfield.crashes.runs import LostRuns, Run, TargetExit
 from hillfield.crashes.served import ServedRequests
 
 __all__ = (
-    'Asking',
+    'ComparisonTimer',
     'ClearRow',
     'Comparison',
     'CrashCodec',
-    'CrashLedger',
-    'EndRow',
+    'CrashRegistry',
+    'ExitRow',
     'Fingerprinter',
     'Findings',
     'Inquiry',
-    'Likeness',
+    'RequestIdentity',
     'LostRuns',
     'Message',
     'Run',
     'ServedRequests',
-    'StoredEnds',
-    'TargetEnd',
+    'StoredExits',
+    'TargetExit',
     'describe_refusal',
     'split_rows',
 )
--- a/hillfield/crashes/cases.py
+++ b/hillfield/crashes/cases.py
@@ -5,7 +5,7 @@
 
 from xxhash import xxh3_64_intdigest
 
-from hillfield.crashes.messages import ClearRow, EndRow
+from hillfield.crashes.messages import ClearRow, ExitRow
 from hillfield.crashes.proof import SeenExit, compute_refusal_time, is_harmful
 
 # Seed of the digest of a harmful request.
@@ -26,29 +26,29 @@
     """
 
     fingerprint: bytes
-    ends: dict[tuple[str, int], SeenExit] = field(default_factory=dict)
+    exits: dict[tuple[str, int], SeenExit] = field(default_factory=dict)
     harmful: bool = False
     cleared_at: float = NEVER
     last_trial: float = NEVER
-    settled: bool = True
+    stored: bool = True
     _digest: int | None = None
 
     @property
-    def last(self) -> float:
+    def last_event(self) -> float:
         """Return when the request last caused an exit or was cleared."""
-        ended = (seen_exit.ended for seen_exit in self.ends.values())
+        ended = (seen_exit.ended for seen_exit in self.exits.values())
         return max(self.cleared_at, *ended, NEVER)
 
-    def add_exit(self, now: float, row: EndRow) -> None:
+    def add_exit(self, now: float, row: ExitRow) -> None:
         """Add an exit, unless it is known, cleared, or one too many."""
         name = (row.gate, row.number)
         ended = now - row.ago
-        if name in self.ends or ended <= self.cleared_at:
+        if name in self.exits or ended <= self.cleared_at:
             return
-        if len(self.ends) >= MAXIMUM_EXITS:
+        if len(self.exits) >= MAXIMUM_EXITS:
             return
         self._digest = None
-        self.ends[name] = SeenExit(ended - row.lasted, ended)
+        self.exits[name] = SeenExit(ended - row.lasted, ended)
         if not self.harmful:
             self._update_harmful()
 
@@ -56,34 +56,34 @@
         """Drop the exits until a moment; return whether there were any."""
         self._digest = None
         self.cleared_at = max(self.cleared_at, moment)
-        dropped = list(filter(self._is_cleared, self.ends))
+        dropped = list(filter(self._is_cleared, self.exits))
         for name in dropped:
-            self.ends.pop(name)
+            self.exits.pop(name)
         self._update_harmful()
         return bool(dropped)
 
-    def holds(self, now: float) -> bool:
+    def is_refused(self, now: float) -> bool:
         """Return whether the request is refused by all nodes."""
         if not self.harmful:
             return False
-        return self.find_wait(now) > 0
+        return self.compute_wait(now) > 0
 
-    def find_wait(self, now: float) -> float:
+    def compute_wait(self, now: float) -> float:
         """Return the seconds until a trial; inf: an operator must lift it."""
-        refusal_time = compute_refusal_time(self.ends.values())
-        return max(0, self.last + refusal_time - now)
+        refusal_time = compute_refusal_time(self.exits.values())
+        return max(0, self.last_event + refusal_time - now)
 
-    def may_try(self, now: float) -> bool:
+    def claim_trial(self, now: float) -> bool:
         """Claim the trial due after the refusal; False: already claimed."""
-        if now - self.last_trial < compute_refusal_time(self.ends.values()):
+        if now - self.last_trial < compute_refusal_time(self.exits.values()):
             return False
         self.last_trial = now
         return True
 
-    def list_ends(self, now: float) -> tuple[EndRow, ...]:
+    def list_exits(self, now: float) -> tuple[ExitRow, ...]:
         """Return the exits as rows for other nodes."""
         return tuple(
-            self._make_row(now, gate, number) for gate, number in self.ends
+            self._make_row(now, gate, number) for gate, number in self.exits
         )
 
     def list_clears(self, now: float) -> tuple[ClearRow, ...]:
@@ -99,24 +99,24 @@
         return self._digest
 
     def _update_harmful(self) -> None:
-        harmful = is_harmful(self.ends.values())
+        harmful = is_harmful(self.exits.values())
         if harmful is not self.harmful:
             self.harmful = harmful
-            self.settled = False
+            self.stored = False
 
     def _is_cleared(self, name: tuple[str, int]) -> bool:
-        return self.ends[name].ended <= self.cleared_at
+        return self.exits[name].ended <= self.cleared_at
 
-    def _make_row(self, now: float, gate: str, number: int) -> EndRow:
-        seen_exit = self.ends[gate, number]
+    def _make_row(self, now: float, gate: str, number: int) -> ExitRow:
+        seen_exit = self.exits[gate, number]
         ago = now - seen_exit.ended
         lasted = seen_exit.ended - seen_exit.began
-        return EndRow(self.fingerprint, gate, number, ago, lasted)
+        return ExitRow(self.fingerprint, gate, number, ago, lasted)
 
 
 def _compute_digest(case: Case) -> int:
     if case.harmful:
         return xxh3_64_intdigest(case.fingerprint, HARMFUL_SEED)
-    names = sorted(f'{gate}/{number}' for gate, number in case.ends)
+    names = sorted(f'{gate}/{number}' for gate, number in case.exits)
     text = ' '.join((case.fingerprint.hex(), *names))
     return xxh3_64_intdigest(text.encode())
--- a/hillfield/crashes/comparing.py
+++ b/hillfield/crashes/comparing.py
@@ -1,6 +1,6 @@
 """Decide when a node compares its crash reports with another node's; pure.
 
-A node that starts knows no crashing request, and each one that it lets through
+A node that starts has_reports no crashing request, and each one that it lets through
 makes another target exit.
 """
 
@@ -14,18 +14,18 @@
 JOINING_SECONDS: Final = 6.0
 
 
-class Asking:
+class ComparisonTimer:
     """Schedule a node's comparisons; times are monotonic seconds.
 
     Only messages that were sent count: at first a node may know no other node.
 
-    >>> timer = Asking()
-    >>> timer.is_due(20.0, knows=False)
+    >>> timer = ComparisonTimer()
+    >>> timer.is_due(20.0, has_reports=False)
     True
-    >>> timer.note_asked(20.0)
-    >>> timer.is_due(20.3, knows=False), timer.is_due(20.3, knows=True)
+    >>> timer.record_sent(20.0)
+    >>> timer.is_due(20.3, has_reports=False), timer.is_due(20.3, has_reports=True)
     (True, False)
-    >>> timer.is_due(27.0, knows=False)
+    >>> timer.is_due(27.0, has_reports=False)
     False
     """
 
@@ -34,13 +34,13 @@
         self._first: float | None = None
         self._last = float('-inf')
 
-    def is_due(self, now: float, *, knows: bool) -> bool:
-        """Return whether to compare; `knows`: this node has reports."""
-        if knows:
+    def is_due(self, now: float, *, has_reports: bool) -> bool:
+        """Return whether to compare; `has_reports`: this node has reports."""
+        if has_reports:
             return now - self._last >= COMPARE_INTERVAL
         return self._first is None or now - self._first < JOINING_SECONDS
 
-    def note_asked(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Record that a comparison was started."""
         self._last = now
         if self._first is None:
--- a/hillfield/crashes/fingerprints.py
+++ b/hillfield/crashes/fingerprints.py
@@ -15,7 +15,7 @@
 BODY_BYTES: Final = 65536
 
 
-class Likeness(Struct, frozen=True):
+class RequestIdentity(Struct, frozen=True):
     """Hold what two copies of the same request have in common.
 
     `account` is its client account, so that requests of different accounts
@@ -37,11 +37,11 @@
     request with the fingerprint of another caller's request.
 
     >>> fingerprinter = Fingerprinter(b'key')
-    >>> lookup = Likeness('GET', 'till', '/a', '')
-    >>> again = Likeness('GET', 'till', '/a', '')
-    >>> fingerprinter.take(lookup) == fingerprinter.take(again)
+    >>> lookup = RequestIdentity('GET', 'till', '/a', '')
+    >>> again = RequestIdentity('GET', 'till', '/a', '')
+    >>> fingerprinter.compute(lookup) == fingerprinter.compute(again)
     True
-    >>> fingerprinter.take(lookup) == Fingerprinter(b'other').take(lookup)
+    >>> fingerprinter.compute(lookup) == Fingerprinter(b'other').compute(lookup)
     False
     """
 
@@ -50,7 +50,7 @@
         derived = blake2b(key, digest_size=KEY_BYTES).digest()
         self._empty = blake2b(digest_size=FINGERPRINT_BYTES, key=derived)
 
-    def take(self, identity: Likeness) -> bytes:
+    def compute(self, identity: RequestIdentity) -> bytes:
         """Return the fingerprint; only the body may contain a newline."""
         digest = self._empty.copy()
         head = (
--- a/hillfield/crashes/messages.py
+++ b/hillfield/crashes/messages.py
@@ -5,7 +5,7 @@
 from hillfield.loadreports.sealing import SealedCodec
 
 
-class EndRow(Struct, frozen=True, array_like=True):
+class ExitRow(Struct, frozen=True, array_like=True):
     """Report that a target exited while it ran a request.
 
     `gate` is the node that saw it and `number` its number there; `ago` is the
@@ -34,7 +34,7 @@
 class Findings(Struct, frozen=True, array_like=True, tag='f'):
     """Hold what one node has observed or received."""
 
-    ends: tuple[EndRow, ...] = ()
+    exits: tuple[ExitRow, ...] = ()
     clears: tuple[ClearRow, ...] = ()
 
 
@@ -54,14 +54,14 @@
     answering: bool = False
 
 
-class StoredEnds(Struct, frozen=True, array_like=True):
+class StoredExits(Struct, frozen=True, array_like=True):
     """Hold why a request is refused, as stored permanently.
 
     `written` is the wall clock in milliseconds, to which the rows' ages refer.
     """
 
     written: int
-    ends: tuple[EndRow, ...]
+    exits: tuple[ExitRow, ...]
 
 
 Message = Findings | Inquiry | Comparison
@@ -71,7 +71,7 @@
     """Seal messages with the cluster's key, and open them.
 
     >>> codec = CrashCodec(b'key')
-    >>> findings = Findings((EndRow(b'x', 'n1', 7, 0.5, 0.1),))
+    >>> findings = Findings((ExitRow(b'x', 'n1', 7, 0.5, 0.1),))
     >>> codec.open(codec.seal(findings)) == findings
     True
     >>> codec.open(b'noise') is None
--- a/hillfield/crashes/ledger.py
+++ b/hillfield/crashes/registry.py
@@ -9,11 +9,11 @@
 from typing import Final
 
 from hillfield.crashes.cases import Case
-from hillfield.crashes.messages import ClearRow, EndRow, Findings
+from hillfield.crashes.messages import ClearRow, ExitRow, Findings
 
 # Requests tracked at once, some 670 bytes each. The exit of a target with four
 # slots adds four of them, of which three are harmless.
-CASES_KEPT: Final = 2048
+MAXIMUM_CASES: Final = 2048
 # Seconds after which a request that isn't refused is dropped.
 CASE_EXPIRY_SECONDS: Final = 3600.0
 # Seconds between sweeps for expired cases.
@@ -24,18 +24,18 @@
 DIGEST_MODULUS: Final = 1 << 8 * 8
 
 
-class CrashLedger:
+class CrashRegistry:
     """Track requests by their fingerprints; times are monotonic seconds.
 
-    >>> registry = CrashLedger()
-    >>> rows = [EndRow(b'x', 'n1', each, 9.0 - each, 0.5) for each in range(3)]
-    >>> registry.take(10, Findings(tuple(rows))) == {b'x'}
+    >>> registry = CrashRegistry()
+    >>> rows = [ExitRow(b'x', 'n1', each, 9.0 - each, 0.5) for each in range(3)]
+    >>> registry.merge(10, Findings(tuple(rows))) == {b'x'}
     True
-    >>> registry.holds(10, b'x'), registry.holds(10, b'y')
+    >>> registry.is_refused(10, b'x'), registry.is_refused(10, b'y')
     (True, False)
     >>> registry.clear(11, b'x')
     True
-    >>> registry.holds(11, b'x')
+    >>> registry.is_refused(11, b'x')
     False
     """
 
@@ -45,18 +45,18 @@
         self._next_sweep = float()
         self._digests: tuple[int, ...] | None = None
 
-    def take(self, now: float, findings: Findings) -> set[bytes]:
+    def merge(self, now: float, findings: Findings) -> set[bytes]:
         """Merge rows; return the requests that are refused from now on."""
         self._digests = None
-        before = _list_harmful(self, findings.ends)
+        before = _list_harmful(self, findings.exits)
         for clear in findings.clears:
             self._get_case(clear.fingerprint).clear(now - clear.ago)
-        for row in findings.ends:
+        for row in findings.exits:
             self._get_case(row.fingerprint).add_exit(now, row)
-        if now >= self._next_sweep or len(self.cases) > CASES_KEPT:
+        if now >= self._next_sweep or len(self.cases) > MAXIMUM_CASES:
             self._next_sweep = now + SWEEP_INTERVAL
             self._drop_cases(now)
-        return _list_harmful(self, findings.ends) - before
+        return _list_harmful(self, findings.exits) - before
 
     def clear(self, moment: float, fingerprint: bytes) -> bool:
         """Record that a request is harmless; return if exits were dropped."""
@@ -64,23 +64,23 @@
         case = self.cases.get(fingerprint)
         return case is not None and case.clear(moment)
 
-    def settle(self, fingerprint: bytes) -> None:
+    def mark_stored(self, fingerprint: bytes) -> None:
         """Record that the store holds why a request is refused."""
         case = self.cases.get(fingerprint)
         if case is not None:
-            case.settled = case.harmful
+            case.stored = case.harmful
 
     def is_harmful(self, fingerprint: bytes) -> bool:
         """Return whether the exits prove that a request is harmful."""
         case = self.cases.get(fingerprint)
         return case is not None and case.harmful
 
-    def holds(self, now: float, fingerprint: bytes) -> bool:
+    def is_refused(self, now: float, fingerprint: bytes) -> bool:
         """Return whether a request is refused by all nodes."""
         case = self.cases.get(fingerprint)
-        return case is not None and case.holds(now)
+        return case is not None and case.is_refused(now)
 
-    def tell(self, now: float, partitions: Container[int]) -> Findings:
+    def export(self, now: float, partitions: Container[int]) -> Findings:
         """Return the reports of some partitions."""
         cases = [
             case
@@ -88,7 +88,7 @@
             if find_partition(fingerprint) in partitions
         ]
         return Findings(
-            tuple(row for case in cases for row in case.list_ends(now)),
+            tuple(row for case in cases for row in case.list_exits(now)),
             tuple(row for case in cases for row in case.list_clears(now)),
         )
 
@@ -98,7 +98,7 @@
             self._digests = self._compute_digests()
         return self._digests
 
-    def find_root(self) -> int:
+    def compute_root(self) -> int:
         """Return the digest of all reports."""
         return sum(self.list_digests()) % DIGEST_MODULUS
 
@@ -122,9 +122,9 @@
         """
         oldest = now - CASE_EXPIRY_SECONDS
         for case in tuple(self.cases.values()):
-            if case.last < oldest and not case.harmful:
+            if case.last_event < oldest and not case.harmful:
                 self.cases.pop(case.fingerprint)
-        excess = len(self.cases) - CASES_KEPT
+        excess = len(self.cases) - MAXIMUM_CASES
         if excess > 0:
             ranked = sorted(self.cases.values(), key=_rank)
             for excess_case in ranked[:excess]:
@@ -132,8 +132,8 @@
 
 
 def _list_harmful(
-    registry: CrashLedger,
-    rows: tuple[EndRow, ...],
+    registry: CrashRegistry,
+    rows: tuple[ExitRow, ...],
 ) -> set[bytes]:
     return {
         row.fingerprint for row in rows if registry.is_harmful(row.fingerprint)
@@ -150,18 +150,18 @@
     limit: int,
 ) -> Iterator[Findings]:
     """Yield the findings in parts of at most `limit` rows."""
-    rows: tuple[EndRow | ClearRow, ...] = (*findings.ends, *findings.clears)
+    rows: tuple[ExitRow | ClearRow, ...] = (*findings.exits, *findings.clears)
     for start in range(0, len(rows), limit):
         yield _gather(rows[start : start + limit])
 
 
-def _gather(rows: Iterable[EndRow | ClearRow]) -> Findings:
+def _gather(rows: Iterable[ExitRow | ClearRow]) -> Findings:
     chosen = tuple(rows)
     return Findings(
-        tuple(row for row in chosen if isinstance(row, EndRow)),
+        tuple(row for row in chosen if isinstance(row, ExitRow)),
         tuple(row for row in chosen if isinstance(row, ClearRow)),
     )
 
 
 def _rank(case: Case) -> tuple[bool, int, float]:
-    return case.harmful, len(case.ends), case.last
+    return case.harmful, len(case.exits), case.last_event
--- a/hillfield/crashes/runs.py
+++ b/hillfield/crashes/runs.py
@@ -29,7 +29,7 @@
     lasted: float
 
 
-class TargetEnd(Struct, frozen=True):
+class TargetExit(Struct, frozen=True):
     """Report that a target exited, and during which requests.
 
     `number` distinguishes this exit from all others seen by the same node: the
@@ -74,7 +74,7 @@
         now: float,
         wall: int,
         target: TargetId,
-    ) -> TargetEnd | None:
+    ) -> TargetExit | None:
         """Return the target's exit, or None where it lost no run.
 
         Connections that are found lost later get the number of the same exit,
@@ -89,4 +89,4 @@
         self._last_exit = now
         since = max(run.ended for run in lost) - EXIT_WINDOW_SECONDS
         runs = tuple(run for run in lost if run.ended >= since)
-        return TargetEnd(target, self._number, runs)
+        return TargetExit(target, self._number, runs)
--- a/hillfield/crashes/served.py
+++ b/hillfield/crashes/served.py
@@ -17,8 +17,8 @@
     """Keep the fingerprints of requests that were answered well.
 
     >>> served = ServedRequests()
-    >>> served.note(10.0, b'x')
-    >>> served.knows(14.0, b'x'), served.knows(16.0, b'x')
+    >>> served.record(10.0, b'x')
+    >>> served.was_answered(14.0, b'x'), served.was_answered(16.0, b'x')
     (True, False)
     """
 
@@ -26,14 +26,14 @@
         """Start without requests."""
         self._moments: OrderedDict[bytes, float] = OrderedDict()
 
-    def note(self, now: float, fingerprint: bytes) -> None:
+    def record(self, now: float, fingerprint: bytes) -> None:
         """Record a good answer; `now` is in monotonic seconds."""
         self._moments[fingerprint] = now
         self._moments.move_to_end(fingerprint)
         if len(self._moments) > MAXIMUM_REQUESTS:
             self._moments.popitem(last=False)
 
-    def knows(self, now: float, fingerprint: bytes) -> bool:
+    def was_answered(self, now: float, fingerprint: bytes) -> bool:
         """Return whether a request was answered recently."""
         moment = self._moments.get(fingerprint)
         return moment is not None and now - moment <= MEMORY_SECONDS
--- a/hillfield/crashes/tests/fleet.py
+++ b/hillfield/crashes/tests/fleet.py
@@ -7,8 +7,8 @@
 
 from msgspec.structs import replace
 
-from hillfield.crashes import CrashLedger, LostRuns, Run, ServedRequests
-from hillfield.crashes.messages import ClearRow, EndRow, Findings
+from hillfield.crashes import CrashRegistry, LostRuns, Run, ServedRequests
+from hillfield.crashes.messages import ClearRow, ExitRow, Findings
 from hillfield.model import Address, TargetId
 
 STEP = 0.01
@@ -41,7 +41,7 @@
 
     name: str
     domain: int
-    registry: CrashLedger = field(default_factory=CrashLedger)
+    registry: CrashRegistry = field(default_factory=CrashRegistry)
     lost: LostRuns = field(default_factory=LostRuns)
     served: ServedRequests = field(default_factory=ServedRequests)
     next_comparison: float = 0
@@ -96,7 +96,7 @@
     def restart_nodes(self, hosts):
         """Let nodes lose all their state."""
         for host in hosts:
-            host.registry = CrashLedger()
+            host.registry = CrashRegistry()
             host.lost = LostRuns()
             host.served = ServedRequests()
 
@@ -104,7 +104,7 @@
         entry = self.random.choice(self.hosts)
         request.tries += 1
         request.sent = 0
-        if entry.registry.holds(self.now, request.name):
+        if entry.registry.is_refused(self.now, request.name):
             self.refused[request.name] += 1
             return
         self._send(request)
@@ -119,7 +119,7 @@
             self._fail(request)
             return
         gate = self.random.choice(free)
-        if gate.registry.holds(self.now, request.name):
+        if gate.registry.is_refused(self.now, request.name):
             self.refused[request.name] += 1
             return
         request.sent += 1
@@ -147,9 +147,9 @@
 
     def _serve(self, host, request):
         self.served[request.name] += 1
-        host.served.note(self.now, request.name)
+        host.served.record(self.now, request.name)
         case = host.registry.cases.get(request.name)
-        if case is not None and case.ends:
+        if case is not None and case.exits:
             self._clear(host, request.name)
 
     def _clear(self, host, name):
@@ -186,7 +186,7 @@
 
     def _report_exit(self, host, target_exit):
         rows = tuple(
-            EndRow(
+            ExitRow(
                 run.fingerprint,
                 host.name,
                 target_exit.number,
@@ -213,13 +213,13 @@
         self.mail = [mail for mail in self.mail if mail[0] > self.now]
         for _, host, findings, since in due:
             passed = self.now - since
-            rows = tuple(replace(row, ago=passed) for row in findings.ends)
+            rows = tuple(replace(row, ago=passed) for row in findings.exits)
             clears = tuple(replace(row, ago=passed) for row in findings.clears)
             self._take(host, Findings(rows, clears))
 
     def _take(self, host, findings):
-        for name in host.registry.take(self.now, findings):
-            if host.served.knows(self.now, name):
+        for name in host.registry.merge(self.now, findings):
+            if host.served.was_answered(self.now, name):
                 self._clear(host, name)
 
     def _compare(self):
@@ -230,8 +230,8 @@
             host.next_comparison = self.now + self.random.uniform(0.5, 1.4)
             other = self.random.choice(self.hosts)
             partitions = find_differing(host.registry, other.registry)
-            self._take(host, other.registry.tell(self.now, partitions))
-            self._take(other, host.registry.tell(self.now, partitions))
+            self._take(host, other.registry.export(self.now, partitions))
+            self._take(other, host.registry.export(self.now, partitions))
 
     def _fail(self, request):
         if request.tries < MAXIMUM_TRIES:
--- a/hillfield/crashes/tests/test_registry.py
+++ b/hillfield/crashes/tests/test_registry.py
@@ -5,15 +5,15 @@
 from pytest import approx
 
 from hillfield.crashes.cases import MAXIMUM_EXITS
-from hillfield.crashes.ledger import CASES_KEPT, CrashLedger, split_rows
-from hillfield.crashes.messages import ClearRow, EndRow, Findings
+from hillfield.crashes.messages import ClearRow, ExitRow, Findings
 from hillfield.crashes.proof import REFUSAL_SECONDS
+from hillfield.crashes.registry import MAXIMUM_CASES, CrashRegistry, split_rows
 from hillfield.crashes.tests.fleet import find_differing
 
 NOW = 1000.0
 NAMES = st.sampled_from([b'\x00a', b'\x01b', b'\x10c'])
 ROWS = st.builds(
-    EndRow,
+    ExitRow,
     NAMES,
     st.sampled_from(['n1', 'n2', 'n3']),
     st.integers(0, 4),
@@ -32,21 +32,21 @@
 
 
 def merge_all(messages):
-    registry = CrashLedger()
+    registry = CrashRegistry()
     for message in messages:
-        registry.take(NOW, message)
+        registry.merge(NOW, message)
     return registry
 
 
 def summarize(registry):
     return {
-        name: (case.harmful, None if case.harmful else sorted(case.ends))
+        name: (case.harmful, None if case.harmful else sorted(case.exits))
         for name, case in registry.cases.items()
     }
 
 
 def make_row(number):
-    return EndRow(b'x', 'n1', number, 3 - number, 0.5)
+    return ExitRow(b'x', 'n1', number, 3 - number, 0.5)
 
 
 def make_findings(*rows):
@@ -54,7 +54,7 @@
 
 
 def add_proof(registry, now=NOW):
-    registry.take(now, make_findings(*map(make_row, range(3))))
+    registry.merge(now, make_findings(*map(make_row, range(3))))
 
 
 @settings(derandomize=True)
@@ -77,61 +77,61 @@
     one = merge_all([Findings(distinct(rows))])
     other = merge_all([Findings(distinct(rows)[:split])])
     partitions = find_differing(one, other)
-    for findings in split_rows(one.tell(NOW, partitions), 4):
-        other.take(NOW, findings)
+    for findings in split_rows(one.export(NOW, partitions), 4):
+        other.merge(NOW, findings)
     assert summarize(one) == summarize(other)
 
 
 def test_a_harmful_request_is_refused_and_then_tried_once():
-    registry = CrashLedger()
+    registry = CrashRegistry()
     add_proof(registry)
     case = registry.cases[b'x']
-    assert registry.holds(NOW + REFUSAL_SECONDS - 2, b'x')
+    assert registry.is_refused(NOW + REFUSAL_SECONDS - 2, b'x')
     later = NOW + REFUSAL_SECONDS
-    assert not registry.holds(later, b'x')
-    assert case.may_try(later)
-    assert not case.may_try(later + 1)
+    assert not registry.is_refused(later, b'x')
+    assert case.claim_trial(later)
+    assert not case.claim_trial(later + 1)
 
 
 def test_each_harmful_trial_doubles_the_refusal_up_to_the_last_trial():
-    registry = CrashLedger()
+    registry = CrashRegistry()
     add_proof(registry)
     first = NOW + REFUSAL_SECONDS + 5
-    registry.take(first, make_findings(EndRow(b'x', 'n2', 9, 0, 0.1)))
-    assert registry.holds(first + 2 * REFUSAL_SECONDS - 1, b'x')
+    registry.merge(first, make_findings(ExitRow(b'x', 'n2', 9, 0, 0.1)))
+    assert registry.is_refused(first + 2 * REFUSAL_SECONDS - 1, b'x')
     second = first + 2 * REFUSAL_SECONDS + 1
-    assert not registry.holds(second, b'x')
-    registry.take(second, make_findings(EndRow(b'x', 'n3', 9, 0, 0.1)))
-    assert registry.holds(second + 1000 * REFUSAL_SECONDS, b'x')
+    assert not registry.is_refused(second, b'x')
+    registry.merge(second, make_findings(ExitRow(b'x', 'n3', 9, 0, 0.1)))
+    assert registry.is_refused(second + 1000 * REFUSAL_SECONDS, b'x')
 
 
 def test_exits_before_a_good_answer_are_ignored_if_reported_later():
-    registry = CrashLedger()
-    registry.take(NOW, Findings(clears=(ClearRow(b'x', 0),)))
+    registry = CrashRegistry()
+    registry.merge(NOW, Findings(clears=(ClearRow(b'x', 0),)))
     add_proof(registry)
-    assert not registry.cases[b'x'].ends
+    assert not registry.cases[b'x'].exits
 
 
 def test_of_too_many_cases_the_harmless_are_dropped_first():
-    registry = CrashLedger()
+    registry = CrashRegistry()
     add_proof(registry)
-    for number in range(CASES_KEPT + 10):
+    for number in range(MAXIMUM_CASES + 10):
         name = b'%08d' % number
-        registry.take(NOW, make_findings(EndRow(name, 'n1', number, 1, 0.1)))
-    assert len(registry.cases) == CASES_KEPT
-    assert registry.holds(NOW, b'x')
+        registry.merge(NOW, make_findings(ExitRow(name, 'n1', number, 1, 0.1)))
+    assert len(registry.cases) == MAXIMUM_CASES
+    assert registry.is_refused(NOW, b'x')
 
 
 def test_exits_of_one_request_are_bounded():
-    registry = CrashLedger()
+    registry = CrashRegistry()
     for number in range(100):
-        registry.take(NOW, make_findings(EndRow(b'x', 'n1', number, 1, 0.5)))
-    assert len(registry.cases[b'x'].ends) == MAXIMUM_EXITS
-    assert not registry.holds(NOW, b'x')
+        registry.merge(NOW, make_findings(ExitRow(b'x', 'n1', number, 1, 0.5)))
+    assert len(registry.cases[b'x'].exits) == MAXIMUM_EXITS
+    assert not registry.is_refused(NOW, b'x')
 
 
 def test_ages_are_sent_by_the_clock_of_the_sender():
-    registry = CrashLedger()
+    registry = CrashRegistry()
     add_proof(registry)
-    findings = registry.tell(NOW + 7, range(16))
-    assert max(row.ago for row in findings.ends) == approx(10)
+    findings = registry.export(NOW + 7, range(16))
+    assert max(row.ago for row in findings.exits) == approx(10)
--- a/hillfield/demo/traffic.py
+++ b/hillfield/demo/traffic.py
@@ -10,8 +10,8 @@
 from expression import Error, Ok, Result
 
 from hillfield.configuration.documents.files import (
-    Configuration,
     SECRETS_FILE,
+    Configuration,
     read_configuration,
 )
 from hillfield.demo.layout import Layout
--- a/hillfield/detection/baseline.py
+++ b/hillfield/detection/baseline.py
@@ -42,7 +42,7 @@
     since: float = 0
 
 
-class BaselineBoard(ResultDetector):
+class BaselineDetector(ResultDetector):
     """Eject after fixed consecutive errors for a fixed time."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
--- a/hillfield/detection/boards.py
+++ b/hillfield/detection/detector.py
@@ -10,7 +10,7 @@
 from hillfield.routing.requests import Observation
 
 
-class Board(Protocol):
+class Detector(Protocol):
     """Decide which targets of a service are healthy; times are seconds."""
 
     def adopt_policy(self, now: float, policy: ServicePolicy) -> None:
@@ -19,10 +19,10 @@
     def adopt_targets(self, now: float, targets: tuple[Target, ...]) -> None:
         """Replace the announced targets."""
 
-    def note_started(self, now: float, target: TargetId, attempt: int) -> None:
+    def record_start(self, now: float, target: TargetId, attempt: int) -> None:
         """Record that an attempt is about to be written."""
 
-    def note_head(self, now: float, target: TargetId, attempt: int) -> None:
+    def record_head(self, now: float, target: TargetId, attempt: int) -> None:
         """Record that the head of the attempt's answer was received."""
 
     def observe(
@@ -43,7 +43,7 @@
     ) -> None:
         """Record what a probe found."""
 
-    def excuse(self, now: float, seconds: float) -> None:
+    def discount_pause(self, now: float, seconds: float) -> None:
         """Leave the last seconds out of the age of attempts in flight.
 
         This node read no answers during them.
--- a/hillfield/detection/trouble.py
+++ b/hillfield/detection/disturbances.py
@@ -37,7 +37,7 @@
 BURST_FACTOR: Final = 8
 
 
-class Trouble(StrEnum):
+class Disturbance(StrEnum):
     """Name a disturbance; from `ONE_WAY` on no target is at fault."""
 
     SLOW_FIVEFOLD = 'slow5'
@@ -57,16 +57,16 @@
     CALM = 'calm'
 
 
-INNOCENT: Final = frozenset(
+HARMLESS: Final = frozenset(
     (
-        Trouble.ONE_WAY,
-        Trouble.SLOWDOWN,
-        Trouble.BURSTS,
-        Trouble.COLD_START,
-        Trouble.SOME_ERRORS,
-        Trouble.FAILING_PROBES,
-        Trouble.MIXED_ROUTES,
-        Trouble.CALM,
+        Disturbance.ONE_WAY,
+        Disturbance.SLOWDOWN,
+        Disturbance.BURSTS,
+        Disturbance.COLD_START,
+        Disturbance.SOME_ERRORS,
+        Disturbance.FAILING_PROBES,
+        Disturbance.MIXED_ROUTES,
+        Disturbance.CALM,
     ),
 )
 
@@ -86,7 +86,7 @@
         self,
         target: Target,
         median: float,
-        disturbance: Trouble,
+        disturbance: Disturbance,
         random: Random,
     ) -> None:
         """Start idle; `median` is the usual seconds to answer."""
@@ -102,7 +102,7 @@
         if is_cut and now >= ONSET:
             end = now + CONNECT_SECONDS
             return Call(None, end, ConnectFailed('no route'))
-        if self._disturbance is Trouble.STALL and now >= ONSET:
+        if self._disturbance is Disturbance.STALL and now >= ONSET:
             return Call(None, now + REQUEST_SECONDS, TimedOut())
         seconds = self._random.lognormvariate(log(self._median), LATENCY_SIGMA)
         begun = max(now, self._free[0])
@@ -116,15 +116,15 @@
     def _compute_latency_factor(self, now: float) -> float:
         factor = 1
         match self._disturbance:
-            case Trouble.SLOW_FIVEFOLD | Trouble.LYING_PROBES:
+            case Disturbance.SLOW_FIVEFOLD | Disturbance.LYING_PROBES:
                 factor = FIVE_TIMES
-            case Trouble.SLOW_TWOFOLD:
+            case Disturbance.SLOW_TWOFOLD:
                 factor = TWICE
-            case Trouble.MIXED_ROUTES if (
+            case Disturbance.MIXED_ROUTES if (
                 self._random.random() < SLOW_ROUTE_SHARE
             ):
                 factor = SLOW_ROUTE_FACTOR
-            case Trouble.SLOWDOWN if now < ONSET + SLOWDOWN_SECONDS:
+            case Disturbance.SLOWDOWN if now < ONSET + SLOWDOWN_SECONDS:
                 factor = FIVE_TIMES
         if now - self.started < COLD_SECONDS:
             return FIVE_TIMES
@@ -134,18 +134,18 @@
         rate = BACKGROUND_ERRORS
         if now >= ONSET:
             match self._disturbance:
-                case Trouble.WRONG_ALWAYS:
+                case Disturbance.WRONG_ALWAYS:
                     rate = 1
-                case Trouble.WRONG_SOMETIMES | Trouble.SOME_ERRORS:
+                case Disturbance.WRONG_SOMETIMES | Disturbance.SOME_ERRORS:
                     rate = ERROR_SHARE
-                case Trouble.FLAP:
+                case Disturbance.FLAP:
                     phase = int((now - ONSET) / FLAP_SECONDS)
                     rate = 1 - phase % 2
         return WRONG_ANSWER if self._random.random() < rate else RIGHT_ANSWER
 
 
-def compute_rate_factor(disturbance: Trouble, now: float) -> float:
+def compute_rate_factor(disturbance: Disturbance, now: float) -> float:
     """Return the rate of arrivals as a multiple of the usual one."""
-    if disturbance is Trouble.BURSTS and now >= ONSET:
+    if disturbance is Disturbance.BURSTS and now >= ONSET:
         return BURST_FACTOR if now % BURST_PERIOD < 1 else 1
     return 1
--- a/hillfield/detection/board.py
+++ b/hillfield/detection/healthdetector.py
@@ -30,7 +30,7 @@
 )
 
 
-class HealthBoard(AttemptTracker):
+class HealthDetector(AttemptTracker):
     """Detect unhealthy targets by comparing their requests with their peers'.
 
     Pure: all times are seconds of one monotonic clock that the caller reads.
@@ -68,7 +68,7 @@
         """Record how an attempt ended."""
         self._now = now
         if isinstance(observation, Answered) and not observation.wrong:
-            self.note_head(now, target, attempt)
+            self.record_head(now, target, attempt)
         started = self._service.attempts.remove(attempt)
         record = self._service.records.get(target)
         if record is None:
--- a/hillfield/detection/lateness.py
+++ b/hillfield/detection/lateness.py
@@ -112,7 +112,7 @@
         """Track attempts for this service."""
         self._service = service
 
-    def note_started(self, now: float, target: TargetId, attempt: int) -> None:
+    def record_start(self, now: float, target: TargetId, attempt: int) -> None:
         """Record that an attempt is about to be written."""
         self._service.attempts.start(now, target, attempt)
         self._service.demand.count_request()
@@ -123,13 +123,13 @@
         if record.health is Health.TRIAL:
             record.trial_attempts.add(attempt)
 
-    def note_head(self, now: float, target: TargetId, attempt: int) -> None:
+    def record_head(self, now: float, target: TargetId, attempt: int) -> None:
         """Record that the head of the attempt's answer was received."""
         started = self._service.attempts.remove(attempt)
         record = self._service.records.get(target)
         if started is not None and record is not None:
             count_latency(self._service, record, started, now)
 
-    def excuse(self, now: float, seconds: float) -> None:
+    def discount_pause(self, now: float, seconds: float) -> None:
         """Leave the last seconds out of the age of attempts in flight."""
         self._service.attempts.discount_pause(now, seconds)
--- a/hillfield/detection/measurement.py
+++ b/hillfield/detection/measurement.py
@@ -9,11 +9,11 @@
 
 from msgspec import Struct
 
+from hillfield.detection.disturbances import HARMLESS, ONSET
 from hillfield.detection.modelfleet import ModelFleet, build_fleet
+from hillfield.detection.simulations import Simulation
 from hillfield.detection.ticks import TICK, tick_detectors
 from hillfield.detection.traffic import run_until
-from hillfield.detection.trials import Trial
-from hillfield.detection.trouble import INNOCENT, ONSET
 
 HOUR: Final = 3600
 
@@ -29,7 +29,7 @@
     faulty target.
     """
 
-    trial: Trial
+    simulation: Simulation
     detected: float | None
     late_share: float
     false_ejections: int
@@ -38,7 +38,7 @@
     least_kept: float
 
 
-def measure(simulation: Trial) -> Measurement:
+def run_simulation(simulation: Simulation) -> Measurement:
     """Run one simulation and measure it."""
     fleet = build_fleet(simulation)
     ticks = round(simulation.seconds / TICK)
@@ -54,7 +54,7 @@
     if fleet.detected is not None:
         fair = (fleet.sent - fleet.sent_at_detection) / simulation.size.targets
         share = fleet.sent_after_detection / max(1, fair)
-    healthy = simulation.size.targets - (simulation.trouble not in INNOCENT)
+    healthy = simulation.size.targets - (simulation.disturbance not in HARMLESS)
     return Measurement(
         simulation,
         None if fleet.detected is None else fleet.detected - ONSET,
--- a/hillfield/detection/modelfleet.py
+++ b/hillfield/detection/modelfleet.py
@@ -8,19 +8,19 @@
 
 from msgspec import Struct
 
-from hillfield.detection.baseline import BaselineBoard
-from hillfield.detection.board import HealthBoard
-from hillfield.detection.boards import Board
+from hillfield.detection.baseline import BaselineDetector
+from hillfield.detection.detector import Detector
+from hillfield.detection.disturbances import Call, Disturbance, ModelTarget
+from hillfield.detection.healthdetector import HealthDetector
 from hillfield.detection.rotation import Rotation, build_rotation
-from hillfield.detection.trials import BoardKind, Trial
-from hillfield.detection.trouble import Call, ModelTarget, Trouble
+from hillfield.detection.simulations import DetectorKind, Simulation
 from hillfield.model import Address, Locality, Target, TargetId
 
 CONNECTION_LIMIT: Final = 300
 PORT: Final = 80
 FIRST_ADDRESS: Final = IPv4Address('127.0.0.1')
 SHARED_DISTURBANCES: Final = frozenset(
-    (Trouble.SLOWDOWN, Trouble.SOME_ERRORS, Trouble.MIXED_ROUTES),
+    (Disturbance.SLOWDOWN, Disturbance.SOME_ERRORS, Disturbance.MIXED_ROUTES),
 )
 EMPTY_ROTATION: Final = build_rotation((), 0)
 
@@ -41,7 +41,7 @@
 
     number: int
     locality: Locality
-    detector: Board
+    detector: Detector
     in_flight: Counter[TargetId] = field(default_factory=Counter)
     last_rotation: Rotation = EMPTY_ROTATION
     sends_to_faulty: bool = True
@@ -56,7 +56,7 @@
     request before all affected nodes had it out of rotation (None: not yet).
     """
 
-    simulation: Trial
+    simulation: Simulation
     random: Random
     nodes: tuple[ModelNode, ...]
     targets: dict[TargetId, ModelTarget]
@@ -74,7 +74,7 @@
     least_kept: float = 1
 
 
-def build_fleet(simulation: Trial) -> ModelFleet:
+def build_fleet(simulation: Simulation) -> ModelFleet:
     """Return the fleet of a simulation at time 0."""
     random = Random(simulation.seed)
     models = tuple(
@@ -82,7 +82,7 @@
         for position in range(simulation.size.targets)
     )
     cut_nodes = frozenset[int]()
-    if simulation.trouble is Trouble.ONE_WAY:
+    if simulation.disturbance is Disturbance.ONE_WAY:
         cut_nodes = frozenset(
             range(1, simulation.size.nodes, simulation.size.domains)
         )
@@ -102,23 +102,25 @@
 
 
 def _build_model(
-    simulation: Trial, position: int, random: Random
+    simulation: Simulation, position: int, random: Random
 ) -> ModelTarget:
-    is_affected = position == 0 or simulation.trouble in SHARED_DISTURBANCES
+    is_affected = position == 0 or simulation.disturbance in SHARED_DISTURBANCES
     return ModelTarget(
         build_target(simulation, position, 1),
         simulation.size.median,
-        simulation.trouble if is_affected else Trouble.CALM,
+        simulation.disturbance if is_affected else Disturbance.CALM,
         random,
     )
 
 
-def _build_locality(simulation: Trial, number: int, host: str) -> Locality:
+def _build_locality(simulation: Simulation, number: int, host: str) -> Locality:
     domain = number % simulation.size.domains
     return Locality('region', f'domain-{domain}', host)
 
 
-def build_target(simulation: Trial, number: int, incarnation: int) -> Target:
+def build_target(
+    simulation: Simulation, number: int, incarnation: int
+) -> Target:
     """Return a target; failure domains are assigned in turn by number."""
     return Target(
         TargetId(
@@ -132,15 +134,17 @@
     )
 
 
-def _build_node(simulation: Trial, number: int) -> ModelNode:
+def _build_node(simulation: Simulation, number: int) -> ModelNode:
     locality = _build_locality(simulation, number, f'node-{number}')
-    if simulation.board is BoardKind.BASELINE:
+    if simulation.detector is DetectorKind.BASELINE:
         return ModelNode(
             number,
             locality,
-            BaselineBoard(simulation.policy, locality),
+            BaselineDetector(simulation.policy, locality),
         )
-    return ModelNode(number, locality, HealthBoard(simulation.policy, locality))
+    return ModelNode(
+        number, locality, HealthDetector(simulation.policy, locality)
+    )
 
 
 def announce(fleet: ModelFleet, now: float) -> None:
--- a/hillfield/detection/paths.py
+++ b/hillfield/detection/pathdetector.py
@@ -47,7 +47,7 @@
     failures: int = 0
 
 
-class PathBoard(ResultDetector):
+class PathDetector(ResultDetector):
     """Avoid paths that failed, except for the last one."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
--- a/hillfield/detection/reports.py
+++ b/hillfield/detection/reports.py
@@ -14,7 +14,7 @@
 MAX_PIECES_PER_NODE: Final = 32
 
 
-def find_indicator(evidence: Evidence) -> Indicator:
+def select_indicator(evidence: Evidence) -> Indicator:
     """Return the indicator whose counts a piece of evidence reports.
 
     Several pieces on one target may have the same symptom.
@@ -42,7 +42,7 @@
     @property
     def indicator(self) -> Indicator:
         """Return the indicator whose counts the evidence reports."""
-        return find_indicator(self.evidence)
+        return select_indicator(self.evidence)
 
 
 ReceivedPieces = tuple[ReceivedEvidence, ...]
--- a/hillfield/detection/resultdetector.py
+++ b/hillfield/detection/resultdetector.py
@@ -12,13 +12,13 @@
         """Start without events."""
         self.pending_occurrences: list[Occurrence] = []
 
-    def note_started(self, now: float, target: TargetId, attempt: int) -> None:
+    def record_start(self, now: float, target: TargetId, attempt: int) -> None:
         """Ignore the start of an attempt."""
 
-    def note_head(self, now: float, target: TargetId, attempt: int) -> None:
+    def record_head(self, now: float, target: TargetId, attempt: int) -> None:
         """Ignore the head of an answer: `observe` follows."""
 
-    def excuse(self, now: float, seconds: float) -> None:
+    def discount_pause(self, now: float, seconds: float) -> None:
         """Ignore a pause: the age of attempts is not used."""
 
     def evidence(self, now: float) -> tuple[Evidence, ...]:
--- a/hillfield/detection/rotation.py
+++ b/hillfield/detection/rotation.py
@@ -19,7 +19,7 @@
 
     target: Target
     share: float
-    watched: bool = False
+    keeps_share: bool = False
 
 
 class Rotation(Struct, frozen=True):
--- a/hillfield/detection/trials.py
+++ b/hillfield/detection/simulations.py
@@ -5,18 +5,18 @@
 
 from msgspec import Struct
 
-from hillfield.detection.trouble import Trouble
+from hillfield.detection.disturbances import Disturbance
 from hillfield.model import ServicePolicy
 
 
-class BoardKind(StrEnum):
+class DetectorKind(StrEnum):
     """Name a kind of detector."""
 
     HEALTH = 'health'
     BASELINE = 'baseline'
 
 
-class Size(Struct, frozen=True):
+class ServiceSize(Struct, frozen=True):
     """Describe a service.
 
     `rate` is in requests per second over all nodes, `median` the usual
@@ -34,7 +34,7 @@
 
 KESTRELMOOR_TARGETS: Final = 15
 KESTRELMOOR_RATE: Final = 200
-KESTRELMOOR: Final = Size(
+KESTRELMOOR: Final = ServiceSize(
     'kestrelmoor',
     KESTRELMOOR_TARGETS,
     slots=4,
@@ -44,7 +44,7 @@
 )
 LOST_PROPERTY_TARGETS: Final = 25
 LOST_PROPERTY_RATE: Final = 300
-LOST_PROPERTY: Final = Size(
+LOST_PROPERTY: Final = ServiceSize(
     'lost-property',
     LOST_PROPERTY_TARGETS,
     slots=3,
@@ -54,13 +54,13 @@
 )
 
 
-class Trial(Struct, frozen=True):
+class Simulation(Struct, frozen=True):
     """Describe one simulated run."""
 
-    size: Size
-    trouble: Trouble
+    size: ServiceSize
+    disturbance: Disturbance
     seed: int
-    board: BoardKind = BoardKind.HEALTH
+    detector: DetectorKind = DetectorKind.HEALTH
     policy: ServicePolicy = ServicePolicy('measured')
     seconds: float = 36
     probes: bool = True
--- a/hillfield/detection/summaries.py
+++ b/hillfield/detection/summaries.py
@@ -6,9 +6,13 @@
 
 from msgspec import Struct
 
+from hillfield.detection.disturbances import Disturbance
 from hillfield.detection.measurement import Measurement
-from hillfield.detection.trials import BoardKind, Size, Trial
-from hillfield.detection.trouble import Trouble
+from hillfield.detection.simulations import (
+    DetectorKind,
+    ServiceSize,
+    Simulation,
+)
 from hillfield.model import ServicePolicy
 
 HIGH_PERCENTILE: Final = 0.99
@@ -24,10 +28,10 @@
     """
 
     size: str
-    trouble: Trouble
-    board: BoardKind
+    disturbance: Disturbance
+    detector: DetectorKind
     late_detection_cost: float
-    trials: int
+    runs: int
     median: float | None
     p99: float | None
     late_share: float
@@ -36,23 +40,23 @@
     least_kept: float
 
 
-def plan_trials(
-    size: Size,
-    disturbance: Trouble,
-    detector: BoardKind,
+def plan_simulations(
+    size: ServiceSize,
+    disturbance: Disturbance,
+    detector: DetectorKind,
     cost: float,
     seeds: Iterable[int],
-) -> tuple[Trial, ...]:
+) -> tuple[Simulation, ...]:
     """Return one run per seed; `cost` is that of a late detection."""
     policy = ServicePolicy('measured', late_detection_cost=cost)
     return tuple(
-        Trial(size, disturbance, seed, detector, policy) for seed in seeds
+        Simulation(size, disturbance, seed, detector, policy) for seed in seeds
     )
 
 
 def summarise(measurements: tuple[Measurement, ...]) -> Summary:
     """Summarize measurements that differ in their seed only."""
-    simulation = measurements[0].trial
+    simulation = measurements[0].simulation
     times = sorted(
         float('inf') if measured.detected is None else measured.detected
         for measured in measurements
@@ -61,8 +65,8 @@
     hours = sum(each.target_hours for each in measurements)
     return Summary(
         simulation.size.name,
-        simulation.trouble,
-        simulation.board,
+        simulation.disturbance,
+        simulation.detector,
         simulation.policy.late_detection_cost,
         len(times),
         _or_none(median(times)),
--- a/hillfield/detection/tests/test_busy_host.py
+++ b/hillfield/detection/tests/test_busy_host.py
@@ -31,7 +31,7 @@
     """Let one request wait at the target until its deadline."""
     service.attempt += 1
     attempt = service.attempt
-    service.detector.note_started(service.now, UNHEALTHY, attempt)
+    service.detector.record_start(service.now, UNHEALTHY, attempt)
     for _ in range(round(DEADLINE * 10)):
         work_peers(service, late_of_ten=4)
         service.pass_time()
@@ -75,12 +75,12 @@
     service.work(20, FINE, USUAL, everywhere=True)
     attempts = list(range(100000, 100004))
     for attempt in attempts:
-        service.detector.note_started(service.now, UNHEALTHY, attempt)
+        service.detector.record_start(service.now, UNHEALTHY, attempt)
     service.now += 2
-    service.detector.excuse(service.now, 1.9)
+    service.detector.discount_pause(service.now, 1.9)
     service.pass_time(0)
     for answered in attempts:
-        service.detector.note_head(service.now, UNHEALTHY, answered)
+        service.detector.record_head(service.now, UNHEALTHY, answered)
         service.detector.observe(service.now, UNHEALTHY, answered, FINE)
     service.pass_time()
     assert EventCode.TARGET_SUSPECTED not in service.codes
@@ -90,9 +90,9 @@
     service = ServiceDriver()
     service.work(20, everywhere=True)
     service.now += 2
-    service.detector.excuse(service.now, 1.9)
+    service.detector.discount_pause(service.now, 1.9)
     for attempt in range(100000, 100006):
-        service.detector.note_started(service.now, UNHEALTHY, attempt)
+        service.detector.record_start(service.now, UNHEALTHY, attempt)
     for _ in range(15):
         work_peers(service, late_of_ten=0)
         service.pass_time()
--- a/hillfield/detection/tests/test_healthdetector.py
+++ b/hillfield/detection/tests/test_healthdetector.py
@@ -3,9 +3,9 @@
 import pytest
 from msgspec.structs import replace
 
-from hillfield.detection.board import HealthBoard
 from hillfield.detection.evidence import Evidence, Symptom
 from hillfield.detection.explanations import TargetExplanation
+from hillfield.detection.healthdetector import HealthDetector
 from hillfield.events import EventCode
 from hillfield.model import (
     Address,
@@ -54,7 +54,7 @@
     """Send requests one by one to targets that answer as asked."""
 
     def __init__(self, policy: ServicePolicy = PLAIN) -> None:
-        self.detector = HealthBoard(policy, HERE)
+        self.detector = HealthDetector(policy, HERE)
         self.detector.adopt_targets(0, TARGETS)
         self.now: float = 0
         self.attempt = 0
@@ -67,10 +67,10 @@
         seconds: float = 0.03,
     ) -> None:
         self.attempt += 1
-        self.detector.note_started(self.now, target, self.attempt)
+        self.detector.record_start(self.now, target, self.attempt)
         ended = self.now + seconds
         if isinstance(observation, Answered):
-            self.detector.note_head(ended, target, self.attempt)
+            self.detector.record_head(ended, target, self.attempt)
         self.detector.observe(ended, target, self.attempt, observation)
 
     def pass_time(self, seconds: float = 0.1) -> None:
@@ -157,7 +157,7 @@
     service = ServiceDriver()
     service.work(20)
     for attempt in range(1000, 1005):
-        service.detector.note_started(service.now, UNHEALTHY, attempt)
+        service.detector.record_start(service.now, UNHEALTHY, attempt)
     for _ in range(6):
         service.pass_time()
     assert not service.serves()
@@ -180,7 +180,7 @@
     service.work(20)
     started = [(target.id, call) for target in TARGETS for call in range(8)]
     for attempt, (target, _) in enumerate(started, start=1000):
-        service.detector.note_started(service.now, target, attempt)
+        service.detector.record_start(service.now, target, attempt)
     for _ in range(20):
         service.pass_time()
     for attempt, (target, _) in enumerate(started, start=1000):
@@ -373,7 +373,7 @@
     service = ServiceDriver()
     service.work(20)
     for number in (-1, -2):
-        service.detector.note_started(service.now, UNHEALTHY, number)
+        service.detector.record_start(service.now, UNHEALTHY, number)
     for _ in range(8):
         for other in TARGETS[1:]:
             service.call(other.id)
@@ -393,7 +393,7 @@
 
 
 def test_targets_without_requests_are_no_peers_in_a_slowdown():
-    detector = HealthBoard(PLAIN, HERE)
+    detector = HealthDetector(PLAIN, HERE)
     near = tuple(make_target(number) for number in range(1, 5))
     far = tuple(make_target(number, 'b') for number in range(5, 16))
     detector.adopt_targets(0, near + far)
@@ -403,8 +403,8 @@
         seconds = 0.03 if number < 200 else 0.15
         for place, target in enumerate(near):
             attempt = 4 * number + place
-            detector.note_started(now, target.id, attempt)
-            detector.note_head(now + seconds, target.id, attempt)
+            detector.record_start(now, target.id, attempt)
+            detector.record_head(now + seconds, target.id, attempt)
             detector.observe(now + seconds, target.id, attempt, FINE)
         codes = [each.code for each in detector.tick(now + TENTH)]
         taken_out += codes.count(EventCode.TARGET_EJECTED)
--- a/hillfield/detection/tests/test_invariants.py
+++ b/hillfield/detection/tests/test_invariants.py
@@ -7,8 +7,8 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from msgspec.structs import replace
 
-from hillfield.detection.board import HealthBoard
 from hillfield.detection.evidence import Evidence, Symptom
+from hillfield.detection.healthdetector import HealthDetector
 from hillfield.model import (
     Address,
     Locality,
@@ -61,7 +61,7 @@
         super().__init__()
         self.policy = ServicePolicy('search', floor=0.6)
         locality = Locality('region', 'domain-0', 'here')
-        self.detector = HealthBoard(self.policy, locality)
+        self.detector = HealthDetector(self.policy, locality)
         self.targets = [make_target(number, 1) for number in range(6)]
         self.now: float = 0
         self.attempt = 0
@@ -92,9 +92,9 @@
     def start_attempt(self, number: int, answered: bool) -> None:
         self.attempt += 1
         target = self.targets[number].id
-        self.detector.note_started(self.now, target, self.attempt)
+        self.detector.record_start(self.now, target, self.attempt)
         if answered:
-            self.detector.note_head(self.now, target, self.attempt)
+            self.detector.record_head(self.now, target, self.attempt)
         self.open.append((target, self.attempt))
 
     @rule(observation=OBSERVATIONS)
--- a/hillfield/detection/tests/test_measurement.py
+++ b/hillfield/detection/tests/test_measurement.py
@@ -3,30 +3,32 @@
 import pytest
 from msgspec.structs import replace
 
-from hillfield.detection.measurement import measure
-from hillfield.detection.summaries import plan_trials, summarise
-from hillfield.detection.trials import (
+from hillfield.detection.disturbances import Disturbance
+from hillfield.detection.measurement import run_simulation
+from hillfield.detection.simulations import (
     KESTRELMOOR,
     LOST_PROPERTY,
-    BoardKind,
-    Trial,
+    DetectorKind,
+    Simulation,
 )
-from hillfield.detection.trouble import Trouble
+from hillfield.detection.summaries import plan_simulations, summarise
 
 SEEDS = (0, 1)
 
 
-def run(size, disturbance, detector=BoardKind.HEALTH, seconds=12):
-    planned = plan_trials(size, disturbance, detector, 1, SEEDS)
+def run(size, disturbance, detector=DetectorKind.HEALTH, seconds=12):
+    planned = plan_simulations(size, disturbance, detector, 1, SEEDS)
     return summarise(
-        tuple(measure(replace(each, seconds=seconds)) for each in planned),
+        tuple(
+            run_simulation(replace(each, seconds=seconds)) for each in planned
+        ),
     )
 
 
 @pytest.mark.parametrize('size', [KESTRELMOOR, LOST_PROPERTY])
 @pytest.mark.parametrize(
     'disturbance',
-    [Trouble.SLOW_FIVEFOLD, Trouble.WRONG_ALWAYS, Trouble.STALL],
+    [Disturbance.SLOW_FIVEFOLD, Disturbance.WRONG_ALWAYS, Disturbance.STALL],
 )
 def test_faulty_target_gets_no_work_after_two_seconds(size, disturbance):
     summary = run(size, disturbance)
@@ -38,13 +40,13 @@
 @pytest.mark.parametrize(
     'disturbance',
     [
-        Trouble.SLOWDOWN,
-        Trouble.BURSTS,
-        Trouble.SOME_ERRORS,
-        Trouble.ONE_WAY,
-        Trouble.FAILING_PROBES,
-        Trouble.COLD_START,
-        Trouble.MIXED_ROUTES,
+        Disturbance.SLOWDOWN,
+        Disturbance.BURSTS,
+        Disturbance.SOME_ERRORS,
+        Disturbance.ONE_WAY,
+        Disturbance.FAILING_PROBES,
+        Disturbance.COLD_START,
+        Disturbance.MIXED_ROUTES,
     ],
 )
 def test_disturbance_without_a_faulty_target_ejects_none(disturbance):
@@ -52,10 +54,14 @@
 
 
 def test_baseline_ejects_healthy_targets_when_probes_fail():
-    summary = run(KESTRELMOOR, Trouble.FAILING_PROBES, BoardKind.BASELINE)
+    summary = run(
+        KESTRELMOOR, Disturbance.FAILING_PROBES, DetectorKind.BASELINE
+    )
     assert summary.false_ejections > 0
 
 
 def test_equal_seeds_give_equal_measurements():
-    simulation = Trial(KESTRELMOOR, Trouble.SLOW_FIVEFOLD, 7, seconds=8)
-    assert measure(simulation) == measure(simulation)
+    simulation = Simulation(
+        KESTRELMOOR, Disturbance.SLOW_FIVEFOLD, 7, seconds=8
+    )
+    assert run_simulation(simulation) == run_simulation(simulation)
--- a/hillfield/detection/tests/test_paths.py
+++ b/hillfield/detection/tests/test_paths.py
@@ -1,6 +1,6 @@
 """Test the detector of failed paths."""
 
-from hillfield.detection.paths import PathBoard
+from hillfield.detection.pathdetector import PathDetector
 from hillfield.model import (
     Address,
     Locality,
@@ -21,7 +21,7 @@
 
 
 def make_detector(*targets):
-    detector = PathBoard(ServicePolicy('s'), HERE)
+    detector = PathDetector(ServicePolicy('s'), HERE)
     detector.adopt_targets(0, targets)
     return detector
 
--- a/hillfield/detection/tests/test_sharing.py
+++ b/hillfield/detection/tests/test_sharing.py
@@ -2,8 +2,8 @@
 
 import pytest
 
-from hillfield.detection.board import HealthBoard
 from hillfield.detection.evidence import Evidence, Symptom
+from hillfield.detection.healthdetector import HealthDetector
 from hillfield.detection.reports import (
     MAX_NODES,
     EvidenceReports,
@@ -25,14 +25,14 @@
 UNHEALTHY = TARGETS[0].id
 
 
-def make_detector() -> HealthBoard:
-    detector = HealthBoard(ServicePolicy('search'), HERE)
+def make_detector() -> HealthDetector:
+    detector = HealthDetector(ServicePolicy('search'), HERE)
     detector.adopt_targets(0, TARGETS)
     return detector
 
 
 def report(
-    detector: HealthBoard,
+    detector: HealthDetector,
     now: float,
     failures: int,
     symptom: Symptom = Symptom.WRONG,
@@ -44,7 +44,7 @@
         detector.adopt_evidence(now, node, node, (piece,))
 
 
-def get_state(detector: HealthBoard, now: float) -> str:
+def get_state(detector: HealthDetector, now: float) -> str:
     return next(
         explanation.state
         for explanation in detector.explain(now)
@@ -113,7 +113,7 @@
             attempt += 1
             target = candidate.target.id
             wrong = 'down' if target in lost and tick > 20 else ''
-            detector.note_started(tick / 10, target, attempt)
+            detector.record_start(tick / 10, target, attempt)
             detector.observe(
                 tick / 10 + 0.03,
                 target,
--- a/hillfield/detection/ticks.py
+++ b/hillfield/detection/ticks.py
@@ -3,6 +3,12 @@
 from ipaddress import IPv4Address
 from typing import Final
 
+from hillfield.detection.disturbances import (
+    HARMLESS,
+    ONSET,
+    Disturbance,
+    ModelTarget,
+)
 from hillfield.detection.modelfleet import (
     FIRST_ADDRESS,
     ModelFleet,
@@ -11,7 +17,6 @@
     build_target,
 )
 from hillfield.detection.traffic import update_detection
-from hillfield.detection.trouble import INNOCENT, ONSET, ModelTarget, Trouble
 from hillfield.events import EventCode, Occurrence
 
 # Seconds.
@@ -20,7 +25,7 @@
 TICKS_PER_PROBE: Final = 10
 TICKS_PER_RESTART: Final = 40
 PROBE_SECONDS: Final = 0.025
-TARGET_FAULTS: Final = frozenset(Trouble) - INNOCENT
+TARGET_FAULTS: Final = frozenset(Disturbance) - HARMLESS
 REMOVAL_EVENTS: Final = frozenset(
     (EventCode.TARGET_EJECTED, EventCode.TARGET_AVOIDED),
 )
@@ -37,7 +42,7 @@
         _exchange(fleet, now)
     if fleet.simulation.probes and number % TICKS_PER_PROBE == 0:
         _probe(fleet, now)
-    is_cold_start = fleet.simulation.trouble is Trouble.COLD_START
+    is_cold_start = fleet.simulation.disturbance is Disturbance.COLD_START
     if is_cold_start and now >= ONSET and number % TICKS_PER_RESTART == 0:
         _restart(fleet, now)
 
@@ -49,7 +54,7 @@
 ) -> None:
     is_faulty = occurrence.target == str(fleet.faulty)
     if is_faulty and (
-        fleet.simulation.trouble in TARGET_FAULTS
+        fleet.simulation.disturbance in TARGET_FAULTS
         or node.number in fleet.cut_nodes
     ):
         fleet.avoided += occurrence.code is EventCode.TARGET_AVOIDED
@@ -73,7 +78,8 @@
 
 def _probe(fleet: ModelFleet, now: float) -> None:
     is_failing = (
-        fleet.simulation.trouble is Trouble.FAILING_PROBES and now >= ONSET
+        fleet.simulation.disturbance is Disturbance.FAILING_PROBES
+        and now >= ONSET
     )
     for node in fleet.nodes:
         for target in fleet.targets:
@@ -90,7 +96,7 @@
     fresh = ModelTarget(
         target,
         fleet.simulation.size.median,
-        Trouble.CALM,
+        Disturbance.CALM,
         fleet.random,
     )
     fresh.started = float(now)
--- a/hillfield/detection/traffic.py
+++ b/hillfield/detection/traffic.py
@@ -3,9 +3,9 @@
 from heapq import heappop, heappush
 from typing import Final
 
+from hillfield.detection.disturbances import ONSET, Call, compute_rate_factor
 from hillfield.detection.modelfleet import ModelFleet, ModelNode, PendingCall
 from hillfield.detection.rotation import Candidate
-from hillfield.detection.trouble import ONSET, Call, compute_rate_factor
 from hillfield.model import Target
 from hillfield.routing.requests import ConnectFailed
 
@@ -25,7 +25,7 @@
             _end(fleet, heappop(fleet.pending))
         else:
             _send(fleet, now)
-            factor = compute_rate_factor(fleet.simulation.trouble, now)
+            factor = compute_rate_factor(fleet.simulation.disturbance, now)
             rate = fleet.simulation.size.rate * factor
             fleet.next_arrival = now + fleet.random.expovariate(rate)
 
@@ -40,7 +40,7 @@
     node.in_flight[chosen.id] += 1
     call = _call(fleet, node, chosen, now)
     if not isinstance(call.observation, ConnectFailed):
-        node.detector.note_started(now, chosen.id, fleet.sent)
+        node.detector.record_start(now, chosen.id, fleet.sent)
     at = call.end if call.head is None else call.head
     due = PendingCall(at, fleet.sent, node.number, chosen.id, call)
     heappush(fleet.pending, due)
@@ -88,7 +88,7 @@
 def _end(fleet: ModelFleet, due: PendingCall) -> None:
     node = fleet.nodes[due.node]
     if due.call.head is not None:
-        node.detector.note_head(due.at, due.target, due.attempt)
+        node.detector.record_head(due.at, due.target, due.attempt)
     node.in_flight[due.target] -= 1
     node.detector.observe(due.at, due.target, due.attempt, due.call.observation)
     update_detection(fleet, node, due.at)
--- a/hillfield/detection/transitions.py
+++ b/hillfield/detection/transitions.py
@@ -3,7 +3,7 @@
 from typing import Final
 from zlib import crc32
 
-from hillfield.charts import Refusal
+from hillfield.charts import MissingTransition
 from hillfield.detection.evidence import Symptom
 from hillfield.detection.health import (
     EVENT_CODES,
@@ -29,7 +29,7 @@
 ) -> bool:
     """Make the chart's transition, if it has one, and report it."""
     transition = HEALTH_CHART.follow(record.health, trigger)
-    if isinstance(transition, Refusal):
+    if isinstance(transition, MissingTransition):
         return False
     record.health = transition.state
     record.since = now
--- a/hillfield/emulator/accepting.py
+++ b/hillfield/emulator/accepting.py
@@ -15,7 +15,6 @@
 from tornado.iostream import IOStream
 from tornado.netutil import add_accept_handler
 
-
 # Turns of the loop after which what has come of a request has been read and
 # the request has begun; it takes about six.
 TURNS_TO_BEGIN: Final = 20
--- a/hillfield/emulator/store_memory.py
+++ b/hillfield/emulator/store_memory.py
@@ -20,14 +20,6 @@
     write_reading,
 )
 from hillfield.store.counters import CallKind
-from hillfield.store.ports import (
-    Accepted,
-    Change,
-    Conflict,
-    Page,
-    StoreError,
-    StoredValue,
-)
 from hillfield.store.gateway_messages import (
     build_range,
     build_swap,
@@ -35,6 +27,14 @@
     read_page,
     read_swap,
 )
+from hillfield.store.ports import (
+    Accepted,
+    Change,
+    Conflict,
+    Page,
+    StoredValue,
+    StoreError,
+)
 from hillfield.store.wire import RangeRequest
 from hillfield.store.wire_transactions import TransactionResponse
 
--- a/hillfield/emulator/tests/test_commands.py
+++ b/hillfield/emulator/tests/test_commands.py
@@ -9,7 +9,6 @@
 
 from hillfield.cli.application import application
 
-
 LOAD = """
 nodes = ['{address}']
 rate = 200
--- a/hillfield/emulator/tests/test_store_following.py
+++ b/hillfield/emulator/tests/test_store_following.py
@@ -9,9 +9,9 @@
 
 from hillfield.emulator.store_faults import Outage, StoreFaults
 from hillfield.emulator.store_memory import MemoryStore
-from hillfield.store.following import FollowSettings, Follower
+from hillfield.store.following import Follower, FollowSettings
 from hillfield.store.paging import Snapshot
-from hillfield.store.ports import Change, StoreError, StoredValue
+from hillfield.store.ports import Change, StoredValue, StoreError
 from hillfield.store.retries import RetrySettings
 
 SETTINGS = FollowSettings(
--- a/hillfield/emulator/tests/test_store_gateway.py
+++ b/hillfield/emulator/tests/test_store_gateway.py
@@ -18,9 +18,9 @@
 from hillfield.events import EventCode, ListJournal
 from hillfield.model import Address
 from hillfield.store.gateway import GatewayStore
+from hillfield.store.line_feed import LineFeed, wait_for_line
 from hillfield.store.ports import Change
 from hillfield.store.store_settings import StoreSettings
-from hillfield.store.line_feed import LineFeed, wait_for_line
 
 SWAP = (Change('/a', 0, b'x'),)
 SETTINGS = StoreSettings((), call_timeout=0.2, answer_limit=10_000)
--- a/hillfield/experiments/calling/clock.py
+++ b/hillfield/experiments/calling/clock.py
@@ -3,7 +3,6 @@
 from collections.abc import Callable
 from heapq import heappop, heappush
 
-
 Act = Callable[[], None]
 _Due = tuple[float, int, Act]
 
--- a/hillfield/experiments/calling/courses.py
+++ b/hillfield/experiments/calling/courses.py
@@ -11,18 +11,18 @@
 from hillfield.experiments.calling.targets import ERROR, OK, RESET, Run
 from hillfield.loadreports import LoadReport
 from hillfield.model import Outcome, RequestPlan
-from hillfield.proxy.running import HEDGE_AGAIN
+from hillfield.proxy.running import HEDGE_RETRY_SECONDS
 from hillfield.routing.declining import Declined
 from hillfield.routing.requests import (
     Answered,
     Arrival,
     Broken,
     CallerGone,
+    Decision,
     Observation,
     Refuse,
     Send,
     TimedOut,
-    Verdict,
 )
 
 if TYPE_CHECKING:
@@ -59,7 +59,7 @@
         arrival = Arrival(self.name, self.kind.plan, self.expires, True)
         self.take(self._dispatcher.admit(now, arrival))
 
-    def take(self, verdict: Verdict) -> None:
+    def take(self, verdict: Decision) -> None:
         """Do what has been decided."""
         match verdict:
             case Send() if self.closed:
@@ -93,10 +93,10 @@
     def _launch(self, send: Send) -> None:
         hop = Hop(self, send)
         self.hops[send.attempt] = hop
-        self._dispatcher.note_written(self.host.clock.now, send.attempt)
+        self._dispatcher.record_written(self.host.clock.now, send.attempt)
         hop.depart()
         self._launched += 1
-        delay = self._dispatcher.find_hedge_delay(self.kind.plan)
+        delay = self._dispatcher.compute_hedge_delay(self.kind.plan)
         if delay is not None:
             hedge = partial(self._hedge, self._launched)
             self.host.clock.call_later(delay, hedge)
@@ -109,14 +109,14 @@
             self._launch(send)
             return
         again = partial(self._hedge, launched)
-        self.host.clock.call_later(HEDGE_AGAIN, again)
+        self.host.clock.call_later(HEDGE_RETRY_SECONDS, again)
 
     def _expire(self) -> None:
         if self.closed:
             return
         now = self.host.clock.now
         if not self.hops:
-            self._dispatcher.leave(now, self.name)
+            self._dispatcher.cancel(now, self.name)
         for hop in tuple(self.hops.values()):
             hop.over = True
             self._dispatcher.finish(now, hop.send.attempt, TimedOut())
@@ -135,7 +135,7 @@
             hop.cancel()
         self.hops.clear()
         if how != 'ok':
-            self.host.gate.calls.note(now, self.kind.service)
+            self.host.gate.failed_calls.record(now, self.kind.service)
         self._end(how)
 
 
@@ -168,7 +168,7 @@
         """Leave: the gate sees the connection close."""
         self._clock.call_later(self._delay, self._leave)
 
-    def obey(self, verdict: Verdict) -> None:
+    def obey(self, verdict: Decision) -> None:
         """Do what the gate has decided."""
         if isinstance(verdict, Refuse):
             event = verdict.failure.event
@@ -196,8 +196,8 @@
             return
         self._host.hops[self._key] = self
         now = self._clock.now
-        if self.send.told is not None:
-            self._host.gate.adopt_told(now, self.send.told)
+        if self.send.notice is not None:
+            self._host.gate.apply_forwarded_notice(now, self.send.notice)
         arrival = Arrival(self._key, self._plan(), self._course.expires, True)
         self.obey(self._host.gate.admit(now, arrival))
         if self._host.gate.next_due() is not None:
@@ -231,7 +231,7 @@
             self._cut(CallerGone())
             return
         self._gone = True
-        self._host.gate.leave(self._clock.now, self._key)
+        self._host.gate.cancel(self._clock.now, self._key)
 
     def _cut(self, observation: Observation) -> None:
         if self._run is not None and not self._gone:
@@ -247,7 +247,7 @@
         now = self._clock.now
         if isinstance(observation, Answered):
             said = self._host.target.find_notice()
-            self._host.gate.note_notice(now, work.attempt, said)
+            self._host.gate.record_notice(now, work.attempt, said)
         self._host.gate.finish(now, work.attempt, observation)
         self._host.poll_gate()
 
--- a/hillfield/experiments/calling/hosts.py
+++ b/hillfield/experiments/calling/hosts.py
@@ -7,14 +7,14 @@
 from random import Random
 from typing import Final
 
-from hillfield.detection.paths import PathBoard
+from hillfield.detection.pathdetector import PathDetector
 from hillfield.events import ListJournal
 from hillfield.experiments.calling.clock import Clock
 from hillfield.experiments.calling.courses import Course, Hop
 from hillfield.experiments.calling.deployment import Deployment, Kind
 from hillfield.experiments.calling.targets import ModelTarget
-from hillfield.gate import Gate, Seat
-from hillfield.hostroutes.allowances import make_policy
+from hillfield.gate import Gate, ServedIncarnation
+from hillfield.hostroutes.node_policy import make_policy
 from hillfield.loadreports import LoadReport, ReportPacer
 from hillfield.model import (
     Address,
@@ -95,7 +95,7 @@
         self.hops: dict[str, Hop] = {}
         self.arrivals: list[tuple[float, str, str]] = []
         self.gate = Gate(ListJournal())
-        self.gate.take_seat(Seat(target, self.name))
+        self.gate.serve(ServedIncarnation(target, self.name))
         self.target = ModelTarget(
             self.clock,
             deployment.spells,
@@ -103,12 +103,12 @@
             self._call,
         )
         self._kinds = {kind.route: kind for kind in deployment.kinds}
-        self._table = DispatcherTable(target.locality, PathBoard, random)
+        self._table = DispatcherTable(target.locality, PathDetector, random)
         self._pacer = ReportPacer()
         self._slots = target.slots
         self._calls = 0
         self.gate.listener = self._report
-        self.gate.on_answer = self._pacer.note_answer
+        self.gate.on_answer = self._pacer.record_answer
 
     def join(self, targets: tuple[Target, ...]) -> None:
         """Learn of all targets, and begin to tick."""
--- a/hillfield/experiments/calling/targets.py
+++ b/hillfield/experiments/calling/targets.py
@@ -7,7 +7,7 @@
 
 from hillfield.experiments.calling.clock import Clock
 from hillfield.experiments.calling.deployment import Kind, Need, Spells
-from hillfield.model import SAYS_NOTHING, TargetNotice
+from hillfield.model import NO_NOTICE, TargetNotice
 
 OK = 200
 ERROR = 500
@@ -76,7 +76,7 @@
         """Return what it says of itself now."""
         need = self.need
         if need is None or not need.begin <= self._clock.now < need.end:
-            return SAYS_NOTHING
+            return NO_NOTICE
         return TargetNotice(need.rate)
 
     def is_sick(self) -> bool:
--- a/hillfield/experiments/decisions.py
+++ b/hillfield/experiments/decisions.py
@@ -8,13 +8,13 @@
 
 from hillfield.experiments.registry import Options
 from hillfield.experiments.reports import Check, Condition, Report, Table
-from hillfield.routing.bench import Setting
 from hillfield.routing.measurement import (
     ALL_BROKEN,
     LOADS,
     measure_overload,
     measure_setting,
 )
+from hillfield.routing.simulation import Setting
 
 Row = tuple[str | float, ...]
 
--- a/hillfield/experiments/detection.py
+++ b/hillfield/experiments/detection.py
@@ -4,14 +4,14 @@
 from itertools import product
 from typing import Final
 
-from hillfield.detection.measurement import measure as run_trial
-from hillfield.detection.summaries import Summary, plan_trials, summarise
-from hillfield.detection.trials import (
+from hillfield.detection.disturbances import HARMLESS, Disturbance
+from hillfield.detection.measurement import run_simulation as run_trial
+from hillfield.detection.simulations import (
     KESTRELMOOR,
     LOST_PROPERTY,
-    BoardKind,
+    DetectorKind,
 )
-from hillfield.detection.trouble import INNOCENT, Trouble
+from hillfield.detection.summaries import Summary, plan_simulations, summarise
 from hillfield.experiments.registry import Options
 from hillfield.experiments.reports import (
     Cell,
@@ -27,13 +27,13 @@
 NEVER: Final = float('inf')
 WANTED_MEDIAN: Final = 1.0
 CERTAIN: Final = frozenset(
-    (Trouble.SLOW_FIVEFOLD, Trouble.WRONG_ALWAYS, Trouble.STALL),
+    (Disturbance.SLOW_FIVEFOLD, Disturbance.WRONG_ALWAYS, Disturbance.STALL),
 )
 
 
 def measure_detection(options: Options) -> Report:
     """Measure how long a failing target keeps receiving traffic."""
-    troubles = tuple(each for each in Trouble if each not in INNOCENT)
+    troubles = tuple(each for each in Disturbance if each not in HARMLESS)
     cases = tuple(_run_cases(troubles, options))
     columns = ('service', 'trouble', 'board', 'median s', 'slowest s')
     return Report(
@@ -49,14 +49,15 @@
                 f'{_or_never(case.median):.2f} s',
             )
             for case in cases
-            if case.trouble in CERTAIN and case.board is BoardKind.HEALTH
+            if case.disturbance in CERTAIN
+            and case.detector is DetectorKind.HEALTH
         ),
     )
 
 
 def measure_false_ejections(options: Options) -> Report:
     """Count healthy targets that are taken out of service."""
-    cases = tuple(_run_cases(tuple(sorted(INNOCENT)), options))
+    cases = tuple(_run_cases(tuple(sorted(HARMLESS)), options))
     columns = ('service', 'trouble', 'board', 'false ejections')
     return Report(
         'false-ejections',
@@ -69,18 +70,18 @@
                 str(case.false_ejections),
             )
             for case in cases
-            if case.board is BoardKind.HEALTH
+            if case.detector is DetectorKind.HEALTH
         ),
     )
 
 
 def _run_cases(
-    troubles: tuple[Trouble, ...],
+    troubles: tuple[Disturbance, ...],
     options: Options,
 ) -> Iterable[Summary]:
     seeds = range(options.seed, options.seed + _count_seeds(options))
-    for size, trouble, board in product(SIZES, troubles, BoardKind):
-        trials = plan_trials(size, trouble, board, PLAIN_COST, seeds)
+    for size, trouble, board in product(SIZES, troubles, DetectorKind):
+        trials = plan_simulations(size, trouble, board, PLAIN_COST, seeds)
         yield summarise(tuple(map(run_trial, trials)))
 
 
@@ -98,7 +99,7 @@
 
 
 def _name(case: Summary) -> str:
-    return ' at '.join((case.trouble, case.size))
+    return ' at '.join((case.disturbance, case.size))
 
 
 def _or_never(seconds: float | None) -> float:
@@ -109,12 +110,12 @@
     # Of fewer than a hundred trials the slowest stands for the p99.
     return (
         case.size,
-        case.trouble,
-        case.board,
+        case.disturbance,
+        case.detector,
         _or_never(case.median),
         _or_never(case.p99),
     )
 
 
 def _count_row(case: Summary) -> tuple[Cell, ...]:
-    return (case.size, case.trouble, case.board, case.false_ejections)
+    return (case.size, case.disturbance, case.detector, case.false_ejections)
--- a/hillfield/experiments/gray/ground.py
+++ b/hillfield/experiments/gray/ground.py
@@ -23,7 +23,7 @@
 from hillfield.demo.changes import Change, apply_change
 from hillfield.demo.fleet import LocalFleet
 from hillfield.demo.layout import HostPlan, make_layout
-from hillfield.detection.trials import Size
+from hillfield.detection.simulations import ServiceSize
 from hillfield.emulator import EmulatedTarget, ServiceTime, TargetSettings
 from hillfield.experiments.gray.plans import NODES, SIZES
 from hillfield.experiments.gray.programs import (
@@ -96,7 +96,9 @@
             self.call(size, size.rate)
         await sleep(SETTLING)
 
-    def call(self, size: Size, rate: float, seconds: float = 600) -> None:
+    def call(
+        self, size: ServiceSize, rate: float, seconds: float = 600
+    ) -> None:
         """Send requests to all nodes from a process of its own."""
         self._callers += 1
         name = f'caller-{self._callers}'
@@ -183,7 +185,7 @@
 
 def render_load(
     hosts: tuple[HostPlan, ...],
-    size: Size,
+    size: ServiceSize,
     rate: float,
     seconds: float,
 ) -> str:
@@ -214,7 +216,7 @@
 
 
 def _make_settings(
-    size: Size,
+    size: ServiceSize,
     hosts: tuple[HostPlan, ...],
     number: int,
 ) -> TargetSettings:
--- a/hillfield/experiments/gray/plans.py
+++ b/hillfield/experiments/gray/plans.py
@@ -7,7 +7,11 @@
 
 from msgspec import Struct
 
-from hillfield.detection.trials import KESTRELMOOR, LOST_PROPERTY, Size
+from hillfield.detection.simulations import (
+    KESTRELMOOR,
+    LOST_PROPERTY,
+    ServiceSize,
+)
 from hillfield.emulator import Behaviour
 
 NODES: Final = 4
@@ -83,6 +87,6 @@
     return BEHAVIOURS[fault]
 
 
-def find_size(service: str) -> Size:
+def find_size(service: str) -> ServiceSize:
     """Return the size of a service by its name."""
     return next(size for size in SIZES if size.name == service)
--- a/hillfield/experiments/gray/tests/test_measure.py
+++ b/hillfield/experiments/gray/tests/test_measure.py
@@ -1,6 +1,6 @@
 """How onsets on real nodes are summed up and checked."""
 
-from hillfield.detection.trials import KESTRELMOOR
+from hillfield.detection.simulations import KESTRELMOOR
 from hillfield.experiments.gray.events import Removal
 from hillfield.experiments.gray.innocence import Calm
 from hillfield.experiments.gray.measure import (
--- a/hillfield/experiments/overload/baseline.py
+++ b/hillfield/experiments/overload/baseline.py
@@ -11,7 +11,7 @@
 
 import uvloop
 
-from hillfield.detection.baseline import BaselineBoard
+from hillfield.detection.baseline import BaselineDetector
 from hillfield.node.direct import serve
 from hillfield.routing import DispatcherTable
 from hillfield.routing.baseline import BaselineDispatcher
@@ -23,7 +23,7 @@
     settings = read_settings(path).ok
     table = DispatcherTable(
         settings.locality,
-        BaselineBoard,
+        BaselineDetector,
         Random(),
         BaselineDispatcher,
     )
--- a/hillfield/experiments/repair/ground.py
+++ b/hillfield/experiments/repair/ground.py
@@ -7,8 +7,8 @@
 from msgspec.structs import replace
 
 from hillfield.configuration.documents.files import Configuration
-from hillfield.configuration.schema.accounts import ClientAccount
 from hillfield.configuration.editing import Applied, Authorship, Editor
+from hillfield.configuration.schema.accounts import ClientAccount
 from hillfield.demo.fleet import LocalFleet, PlacedTarget
 from hillfield.demo.layout import (
     CLUSTER,
--- a/hillfield/experiments/repair/measure.py
+++ b/hillfield/experiments/repair/measure.py
@@ -8,6 +8,10 @@
 from hillfield.demo.traffic import Example, read_example
 from hillfield.emulator import Promise
 from hillfield.experiments.registry import Options
+from hillfield.experiments.repair.catalogue import PARTED, QUICK, SCENES
+from hillfield.experiments.repair.ground import DOMAINS, HOSTS, REGIONS
+from hillfield.experiments.repair.judging import Judged
+from hillfield.experiments.repair.playing import play_scenes
 from hillfield.experiments.reports import (
     Cell,
     Check,
@@ -15,10 +19,6 @@
     Report,
     Table,
 )
-from hillfield.experiments.repair.catalogue import PARTED, QUICK, SCENES
-from hillfield.experiments.repair.ground import DOMAINS, HOSTS, REGIONS
-from hillfield.experiments.repair.judging import Judged
-from hillfield.experiments.repair.playing import play_scenes
 
 EXAMPLES: Final = Path('examples')
 WORDS: Final = ('BROKEN', 'held')
--- a/hillfield/experiments/repair/scenes_operators.py
+++ b/hillfield/experiments/repair/scenes_operators.py
@@ -10,9 +10,9 @@
 from msgspec.structs import replace
 
 from hillfield.configuration.documents.files import Configuration
+from hillfield.configuration.editing import Applied, Authorship, EditFailure
 from hillfield.configuration.schema.accounts import ClientAccount
 from hillfield.configuration.storage.keys import Keys
-from hillfield.configuration.editing import Applied, Authorship, EditFailure
 from hillfield.demo.layout import CLUSTER
 from hillfield.experiments.repair.ground import Ground
 from hillfield.experiments.repair.outcomes import Outcome, Wish
--- a/hillfield/experiments/repair/store_steps.py
+++ b/hillfield/experiments/repair/store_steps.py
@@ -7,7 +7,7 @@
 from hillfield.emulator.store_faults import Outage, StoreFaults
 from hillfield.emulator.store_values import Lookup, Span
 from hillfield.experiments.repair.ground import Ground
-from hillfield.fleet.slots import prefix_of
+from hillfield.fleet.slots import make_relay_prefix
 from hillfield.store.keys import find_prefix_end
 
 DOWN: Final = StoreFaults(outage=Outage.REFUSE)
@@ -39,7 +39,7 @@
 
 def find_relays(ground: Ground) -> tuple[HostPlan, ...]:
     """Return the hosts whose nodes hold a relay slot in the store."""
-    prefix = prefix_of(CLUSTER).encode()
+    prefix = make_relay_prefix(CLUSTER).encode()
     span = Span(prefix, find_prefix_end(prefix))
     reading = _read_core(ground).read(Lookup(span)).ok
     held = {record.payload.decode() for record in reading.records}
--- a/hillfield/experiments/sizing/capacity.py
+++ b/hillfield/experiments/sizing/capacity.py
@@ -6,12 +6,12 @@
 from hillfield.experiments.report_texts import show_cell
 from hillfield.experiments.reports import Check, Condition, Report, Table
 from hillfield.experiments.sizing import design
+from hillfield.experiments.sizing.amounts import COLUMNS, Budget
 from hillfield.experiments.sizing.budgets import (
     budget_bytes,
     budget_memory,
     budget_processor,
 )
-from hillfield.experiments.sizing.amounts import COLUMNS, Budget
 from hillfield.experiments.sizing.occurrences import (
     budget_events,
     budget_times,
--- a/hillfield/experiments/sizing/disasters.py
+++ b/hillfield/experiments/sizing/disasters.py
@@ -6,8 +6,8 @@
 from msgspec import Struct
 
 from hillfield.experiments.sizing.gossip import start_mesh
-from hillfield.fleet.loading import DOMAINS, REGIONS
 from hillfield.fleet.mesh import Mesh
+from hillfield.fleet.synthetic_fleet import DOMAINS, REGIONS
 from hillfield.model import Address
 
 WATCHED: Final = 20
@@ -52,6 +52,6 @@
 
 
 def _watch(mesh: Mesh, seconds: int) -> float:
-    before = mesh.carried_bytes
+    before = mesh.delivered_bytes
     mesh.run(seconds)
-    return (mesh.carried_bytes - before) / len(mesh.states)
+    return (mesh.delivered_bytes - before) / len(mesh.states)
--- a/hillfield/experiments/sizing/edits.py
+++ b/hillfield/experiments/sizing/edits.py
@@ -7,10 +7,10 @@
 from msgspec import Struct
 
 from hillfield.configuration.documents.files import Configuration
+from hillfield.configuration.editing import Authorship
 from hillfield.configuration.schema.accounts import ClientAccount, ServiceUse
 from hillfield.configuration.schema.credentials import hash_secret
 from hillfield.configuration.schema.templates import RouteRule, Template
-from hillfield.configuration.editing import Authorship
 from hillfield.experiments.sizing.rigs import OPERATOR, Rig
 
 SERVICE: Final = 'measured'
--- a/hillfield/experiments/sizing/occurrences.py
+++ b/hillfield/experiments/sizing/occurrences.py
@@ -3,7 +3,7 @@
 from typing import Final
 
 from hillfield.experiments.sizing import design
-from hillfield.experiments.sizing.amounts import Budget, Amount
+from hillfield.experiments.sizing.amounts import Amount, Budget
 from hillfield.experiments.sizing.records import Records
 
 MESSAGES: Final = 'messages'
--- a/hillfield/experiments/sizing/propagation.py
+++ b/hillfield/experiments/sizing/propagation.py
@@ -19,7 +19,7 @@
 from hillfield.experiments.sizing.pausing import pause_node
 from hillfield.experiments.sizing.rigs import OPERATOR, Rig, RigPlan, start_rig
 from hillfield.experiments.sizing.series import COLUMNS, Series
-from hillfield.fleet.slots import prefix_of
+from hillfield.fleet.slots import make_relay_prefix
 
 NODES: Final = 24
 SINGLES: Final = 40
@@ -87,7 +87,7 @@
 
 async def _find_holder(rig: Rig) -> str:
     """Return the node that holds the first relay entry of the store."""
-    found = await rig.store.read_range(prefix_of(CLUSTER), '', RELAYS)
+    found = await rig.store.read_range(make_relay_prefix(CLUSTER), '', RELAYS)
     links = {str(host.links): host.name for host in rig.layout.hosts}
     holders = (links[entry.payload.decode()] for entry in found.ok.entries)
     return next(holders)
--- a/hillfield/experiments/sizing/speaker.py
+++ b/hillfield/experiments/sizing/speaker.py
@@ -9,20 +9,20 @@
 
 from hillfield.demo.layout import CLUSTER, KEY, find_free, make_ip
 from hillfield.fleet.envelope import Codec
-from hillfield.fleet.loading import (
-    member_statement,
-    name_of,
-    settings_of,
-    targets_statement,
-)
 from hillfield.fleet.messages import (
     Heartbeat,
     Hello,
     Message,
-    Statement,
-    Statements,
+    StateUpdate,
+    StateUpdates,
 )
 from hillfield.fleet.records import RecordCodec
+from hillfield.fleet.synthetic_fleet import (
+    make_member_update,
+    make_node_name,
+    make_node_settings,
+    make_targets_update,
+)
 from hillfield.link import LinkLayer, LinkSettings
 from hillfield.model import Address
 
@@ -45,7 +45,7 @@
         """Open nothing yet; `nodes` counts the real node too."""
         listen = find_free(make_ip(0))
         self._settings = replace(
-            settings_of(1),
+            make_node_settings(1),
             cluster=CLUSTER,
             key=KEY.encode(),
             link=listen,
@@ -64,7 +64,7 @@
         self._links.open()
         self._links.dial(self._node)
         settings = self._settings
-        self._send(Hello(settings.link, settings.locality, asks=True))
+        self._send(Hello(settings.link, settings.locality, is_request=True))
         while True:
             self._send(self._heard)
             await asyncio.sleep(BEAT)  # noqa: WPS476  # a beat at a time
@@ -73,7 +73,7 @@
         """Tell the node of all other nodes and their targets."""
         statements = self._list_statements()
         while batch := tuple(islice(statements, BATCH)):
-            self._send(Statements(batch))
+            self._send(StateUpdates(batch))
             await asyncio.sleep(PAUSE)  # noqa: WPS476  # no full queue
 
     async def change(self, rate: int, seconds: float) -> int:
@@ -83,7 +83,7 @@
             self._version += 1
             # Each second change alters whom the member hears.
             span = self._nodes - number % 2
-            self._send(Statements((self._tell_of(2, span),)))
+            self._send(StateUpdates((self._tell_of(2, span),)))
             await asyncio.sleep(1 / rate)  # noqa: WPS476  # paced
         return made
 
@@ -91,22 +91,22 @@
         """Close the link."""
         self._links.close()
 
-    def _list_statements(self) -> Iterator[Statement]:
+    def _list_statements(self) -> Iterator[StateUpdate]:
         for number in range(1, self._nodes):
             yield self._tell_of(number, self._nodes)
             more = number % MORE_EVERY == 0
             targets = self._targets + more
-            yield targets_statement(self._records, number, targets)
+            yield make_targets_update(self._records, number, targets)
 
-    def _tell_of(self, number: int, nodes: int) -> Statement:
+    def _tell_of(self, number: int, nodes: int) -> StateUpdate:
         """Return a member's record with the speaker's own link address.
 
         Else the node would dial addresses at which nobody listens.
         """
-        told = member_statement(self._records, number, nodes, self._version)
+        told = make_member_update(self._records, number, nodes, self._version)
         record = self._records.decode_record(told.payload)
         if record is None:
-            raise ValueError(name_of(number))
+            raise ValueError(make_node_name(number))
         linked = replace(record, link=self._settings.link)
         payload = self._records.encode_record(linked)
         return replace(told, payload=payload)
--- a/hillfield/fleet/__init__.py
+++ b/hillfield/fleet/__init__.py
@@ -1,7 +1,7 @@
 """Dissemination of membership, targets, evidence and configuration."""
 
-from hillfield.fleet.findings import NodeEvidence
-from hillfield.fleet.readiness import waiting_for
+from hillfield.fleet.evidence_view import NodeEvidence
+from hillfield.fleet.readiness import describe_missing_readiness
 from hillfield.fleet.records import NodeRecord, NodeState
 from hillfield.fleet.replication.entry_index import EntryStore
 from hillfield.fleet.service import Fleet, FleetListeners
@@ -17,5 +17,5 @@
     'NodeEvidence',
     'NodeRecord',
     'NodeState',
-    'waiting_for',
+    'describe_missing_readiness',
 )
--- a/hillfield/fleet/core.py
+++ b/hillfield/fleet/core.py
@@ -5,8 +5,7 @@
 from math import inf
 
 from hillfield.events import EventCode, Occurrence
-from hillfield.fleet.state_table import StateTable
-from hillfield.fleet.findings import FindingsView
+from hillfield.fleet.evidence_view import EvidenceView
 from hillfield.fleet.outbox import Outbox
 from hillfield.fleet.peering.known_addresses import KnownAddresses
 from hillfield.fleet.peering.link_table import Link, LinkTable
@@ -14,6 +13,7 @@
 from hillfield.fleet.replication.entry_index import EntryIndex
 from hillfield.fleet.replication.summary import Summary
 from hillfield.fleet.settings import FleetSettings
+from hillfield.fleet.state_table import StateTable
 from hillfield.fleet.view import TargetView
 from hillfield.model import Address
 
@@ -92,10 +92,10 @@
 
     settings: FleetSettings
     codec: RecordCodec
-    book: StateTable
-    ledger: EntryIndex
+    state_table: StateTable
+    entry_index: EntryIndex
     view: TargetView
-    findings: FindingsView
+    evidence_view: EvidenceView
     links: LinkTable
     outbox: Outbox
     addresses: KnownAddresses
@@ -110,10 +110,10 @@
     def get_summary(self, subject: int) -> Summary:
         """Return the summary of a subject."""
         if subject == Subject.ENTRIES:
-            return self.ledger.summary
-        return self.book.summary
+            return self.entry_index.summary
+        return self.state_table.summary
 
-    def heard_links(self) -> tuple[Link, ...]:
+    def reachable_links(self) -> tuple[Link, ...]:
         """Return the links whose peers are reachable."""
         return tuple(link for link in self.links if link.up)
 
--- a/hillfield/fleet/event_handlers.py
+++ b/hillfield/fleet/event_handlers.py
@@ -9,8 +9,8 @@
 from hillfield.fleet.core import Core
 from hillfield.fleet.effects import Refused, StoreRead, Ticked
 from hillfield.fleet.envelope import Received
-from hillfield.fleet.message_handlers import receive_message
 from hillfield.fleet.heartbeats import confirm_entries
+from hillfield.fleet.message_handlers import receive_message
 from hillfield.fleet.peering import link_maintenance
 from hillfield.fleet.readiness import update_readiness
 from hillfield.fleet.replication import anti_entropy, entry_dissemination
@@ -64,5 +64,5 @@
     link_maintenance.maintain_links(core, now)
     link_maintenance.send_due_heartbeats(core, now)
     membership.expire_lost(core, now)
-    core.findings.expire(now)
+    core.evidence_view.expire(now)
     update_readiness(core, now)
--- a/hillfield/fleet/findings.py
+++ b/hillfield/fleet/evidence_view.py
@@ -3,8 +3,8 @@
 from msgspec import Struct
 
 from hillfield.detection.evidence import Evidence
+from hillfield.fleet.records import RecordCodec, UpdateKind
 from hillfield.fleet.state_table import StateTable
-from hillfield.fleet.records import Kind, RecordCodec
 
 
 class NodeEvidence(Struct, frozen=True):
@@ -15,7 +15,7 @@
     evidence: tuple[Evidence, ...]
 
 
-class FindingsView:
+class EvidenceView:
     """Give access to each node's latest evidence until it expires."""
 
     def __init__(
@@ -55,7 +55,7 @@
     def get_evidence(self, name: str) -> NodeEvidence:
         """Return one node's recent evidence, which may be empty."""
         record = self._table.records.get(name)
-        update = self._table.get(Kind.EVIDENCE, name)
+        update = self._table.get(UpdateKind.EVIDENCE, name)
         domain = '' if record is None else record.locality.failure_domain
         if update is None or name not in self._received:
             return NodeEvidence(name, domain, ())
--- a/hillfield/fleet/heartbeats.py
+++ b/hillfield/fleet/heartbeats.py
@@ -24,12 +24,12 @@
 
 def build_heartbeat(core: Core, now: float) -> Heartbeat:
     """Return a heartbeat with the hashes of this node's state."""
-    age = find_age(core, now)
+    age = compute_entries_age(core, now)
     return Heartbeat(
-        core.book.summary.total,
-        core.ledger.summary.total,
+        core.state_table.summary.total,
+        core.entry_index.summary.total,
         core.own.ready,
-        core.ledger.newest_revision,
+        core.entry_index.newest_revision,
         None if age == inf else round(age * MILLISECONDS),
         core.own.read_failed,
     )
@@ -53,7 +53,7 @@
     return Hello(core.settings.link, core.settings.locality, asks)
 
 
-def find_age(core: Core, now: float) -> float:
+def compute_entries_age(core: Core, now: float) -> float:
     """Return the seconds since this node's entries were confirmed.
 
     They were then known to be all that the store holds.
@@ -92,7 +92,7 @@
 
 def confirm_from_link(core: Core, now: float, link: Link) -> None:
     """Confirm this node's entries if a confirmed neighbour holds no others."""
-    if _holds_all(core.ledger, link):
+    if _holds_all(core.entry_index, link):
         confirm_entries(core, now, link.confirmed)
 
 
--- a/hillfield/fleet/measurement.py
+++ b/hillfield/fleet/measurement.py
@@ -14,22 +14,22 @@
 from hillfield.configuration.entries import Entry
 from hillfield.fleet.effects import Ticked
 from hillfield.fleet.envelope import Codec, Received
-from hillfield.fleet.loading import (
-    load_state,
-    member_statement,
-    receive_from_peer,
-    settings_of,
-)
 from hillfield.fleet.messages import (
     Entries,
     Hashes,
     Heartbeat,
     Message,
-    Statements,
+    StateUpdates,
     Versions,
 )
 from hillfield.fleet.replication.summary import BUCKETS
 from hillfield.fleet.state import FleetState
+from hillfield.fleet.synthetic_fleet import (
+    load_state,
+    make_member_update,
+    make_node_settings,
+    receive_from_peer,
+)
 
 SIZES: Final = (75, 150, 300, 600)
 TARGETS_A_NODE: Final = 13
@@ -68,7 +68,7 @@
     """Measure a state with this number of nodes."""
     memory = measure_memory(nodes, targets)
     state = load_state(nodes, targets)
-    state_table = state.core.book
+    state_table = state.core.state_table
     entry = Entry('/key', 1, bytes(ENTRY_SIZE))
     return FleetCosts(
         nodes=nodes,
@@ -103,7 +103,7 @@
     state = load_state(nodes, targets)
     after = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    return after - before if state.core.book else 0
+    return after - before if state.core.state_table else 0
 
 
 def _changes(state: FleetState, nodes: int) -> Callable[[int], Message]:
@@ -111,15 +111,15 @@
 
     def change(number: int) -> Message:  # noqa: WPS430 -- binds two arguments
         span = nodes - number % 2
-        return Statements(
-            (member_statement(state.core.codec, 2, span, number + 1),),
+        return StateUpdates(
+            (make_member_update(state.core.codec, 2, span, number + 1),),
         )
 
     return change
 
 
 def _cost(state: FleetState, make: Callable[[int], Message]) -> Cost:
-    sender = Codec(settings_of(1))
+    sender = Codec(make_node_settings(1))
     opener = Codec(state.core.settings)
     seconds = []
     length = 0
@@ -136,7 +136,7 @@
 
 def _keep_alive(state: FleetState, now: float) -> None:
     """Keep the neighbour reachable and the tick on time, outside the timing."""
-    beat = Heartbeat(state.core.book.summary.total, 0, ready=True)
+    beat = Heartbeat(state.core.state_table.summary.total, 0, ready=True)
     state.handle_event(now, receive_from_peer(beat))
     state.handle_event(now, Ticked())
 
@@ -146,7 +146,10 @@
     for _ in range(REPEATS):
         now = state.core.times.ticked + STEP_SECONDS / 2
         state.handle_event(
-            now, Received(settings_of(1).name, 1, Heartbeat(0, 0, ready=True))
+            now,
+            Received(
+                make_node_settings(1).name, 1, Heartbeat(0, 0, ready=True)
+            ),
         )
         began = time.perf_counter()
         state.handle_event(now, Ticked())
--- a/hillfield/fleet/membership.py
+++ b/hillfield/fleet/membership.py
@@ -4,7 +4,7 @@
 
 from hillfield.events import EventCode
 from hillfield.fleet.core import Core
-from hillfield.fleet.records import Kind
+from hillfield.fleet.records import UpdateKind
 from hillfield.fleet.state_updates import publish
 
 # Seconds between two computations of the reachable nodes.
@@ -25,15 +25,15 @@
 def refresh_members(core: Core, now: float) -> None:
     """Compute the reachable nodes again if a record changed."""
     if (
-        core.book.members_stale
+        core.state_table.members_stale
         and now - core.times.members_refreshed >= REFRESH_INTERVAL
     ):
         core.times.members_refreshed = now
-        changed = core.book.refresh_alive(core.own.record.name)
-        core.outbox.set_node_count(len(core.book.alive))
+        changed = core.state_table.refresh_alive(core.own.record.name)
+        core.outbox.set_node_count(len(core.state_table.alive))
         others = changed - {core.own.record.name}
-        joined = sorted(others & core.book.alive)
-        lost = sorted(others - core.book.alive)
+        joined = sorted(others & core.state_table.alive)
+        lost = sorted(others - core.state_table.alive)
         for name in joined:
             _record_joined(core, name)
         for gone in lost:
@@ -48,7 +48,7 @@
     A node without a reachable neighbour has lost its own links, which says
     nothing about the other nodes: their timers are then reset.
     """
-    if not core.heard_links():
+    if not core.reachable_links():
         core.lost_since = dict.fromkeys(core.lost_since, now)
         return
     orphaned = [
@@ -63,12 +63,12 @@
     for name, since in tuple(core.lost_since.items()):
         if now - since >= core.settings.forget_after:
             core.lost_since.pop(name)
-            core.book.forget(name)
+            core.state_table.forget(name)
 
 
 def publish_record(core: Core, now: float) -> None:
     """Publish this node's record if it changed and its delay has passed."""
-    held = core.book.get(Kind.MEMBER, core.own.record.name)
+    held = core.state_table.get(UpdateKind.MEMBER, core.own.record.name)
     payload = core.codec.encode_record(core.own.record)
     if held is not None and held.payload == payload:
         return
@@ -79,19 +79,19 @@
     quiet = since >= PUBLISH_QUIET_TIME
     core.own.publish_delay = PUBLISH_DELAY if quiet else doubled
     core.own.published = now
-    publish(core, now, Kind.MEMBER, payload)
+    publish(core, now, UpdateKind.MEMBER, payload)
 
 
 def _record_joined(core: Core, name: str) -> None:
     core.lost_since.pop(name, None)
-    record = core.book.records[name]
+    record = core.state_table.records[name]
     core.addresses.forget(record.link)
     core.view.update_node(name)
 
 
 def _record_lost(core: Core, now: float, name: str) -> None:
     core.lost_since[name] = now
-    record = core.book.records.get(name)
+    record = core.state_table.records.get(name)
     if record is not None:
         core.addresses.add(now, record.link)
 
--- a/hillfield/fleet/mesh.py
+++ b/hillfield/fleet/mesh.py
@@ -84,7 +84,7 @@
         self.in_flight: list[InFlightMessage] = []
         self.storms = 0
         self.delivered = 0
-        self.carried_bytes = 0
+        self.delivered_bytes = 0
 
     def add(self, settings: FleetSettings) -> FleetState:
         """Add a node, or restart it if it exists."""
@@ -176,7 +176,7 @@
     def _deliver_message(self, message: InFlightMessage) -> None:
         state = self.states[message.receiver]
         self.delivered += 1
-        self.carried_bytes += len(message.sealed)
+        self.delivered_bytes += len(message.sealed)
         opened = Codec(state.core.settings).open(message.sealed)
         event = opened.ok if opened.is_ok() else Refused(opened.error)
         self.send_effects(message.receiver, state.handle_event(self.now, event))
--- a/hillfield/fleet/mesh_observation.py
+++ b/hillfield/fleet/mesh_observation.py
@@ -20,15 +20,17 @@
 
 def have_all_members(mesh: Mesh) -> bool:
     """Return whether each node has exactly the present nodes as members."""
-    counts = {len(state.core.book.alive) for state in mesh.states.values()}
+    counts = {
+        len(state.core.state_table.alive) for state in mesh.states.values()
+    }
     return counts == {len(mesh.states)}
 
 
 def count_received_bytes(mesh: Mesh, seconds: float) -> int:
     """Run the mesh; return the bytes that all nodes received."""
-    before = mesh.carried_bytes
+    before = mesh.delivered_bytes
     mesh.run(seconds)
-    return mesh.carried_bytes - before
+    return mesh.delivered_bytes - before
 
 
 def find_busiest_window(samples: list[int]) -> int:
--- a/hillfield/fleet/message_handlers.py
+++ b/hillfield/fleet/message_handlers.py
@@ -14,10 +14,10 @@
     Goodbye,
     Hello,
     Referral,
-    Statements,
+    StateUpdates,
 )
 from hillfield.fleet.peering.link_table import Link
-from hillfield.fleet.records import Kind
+from hillfield.fleet.records import UpdateKind
 from hillfield.fleet.replication.summary import hash_text
 from hillfield.fleet.state_updates import receive_update
 from hillfield.model import Address
@@ -48,7 +48,7 @@
     if received.sender == core.own.record.name:
         core.count('own-name')
         return
-    held = core.book.get(Kind.MEMBER, received.sender)
+    held = core.state_table.get(UpdateKind.MEMBER, received.sender)
     link = core.links.find_by_name(received.sender)
     source = MessageSource(now, received.sender, received.incarnation, link)
     if held and received.incarnation < held.incarnation:
@@ -64,7 +64,7 @@
 def _(message: Hello, core: Core, source: MessageSource) -> None:
     link = core.links.find_by_address(message.link)
     if link is None:
-        if not message.asks or message.link == core.settings.link:
+        if not message.is_request or message.link == core.settings.link:
             return
         if core.links.count_accepted() >= core.settings.accepted_links:
             _refer(core, message.link)
@@ -77,7 +77,7 @@
         link.received_in_row = 0
         _record_received(core, link, source)
     link.locality = message.locality
-    if message.asks:
+    if message.is_request:
         core.outbox.send(link.address, build_hello(core, asks=False))
     if not link.up:
         core.outbox.send(link.address, build_heartbeat(core, source.now))
@@ -97,7 +97,7 @@
 
 
 @handle_message.register
-def _(message: Statements, core: Core, source: MessageSource) -> None:
+def _(message: StateUpdates, core: Core, source: MessageSource) -> None:
     for update in message.updates:
         receive_update(core, source.now, update, source.link)
 
@@ -120,7 +120,10 @@
     """Send a refused node a few other members, different for each asker."""
     core.count('referred')
     members = sorted(
-        (core.book.records[name].link for name in core.book.alive),
+        (
+            core.state_table.records[name].link
+            for name in core.state_table.alive
+        ),
         key=lambda link: hash_text(f'{asker}>{link}'),
     )
     others = [link for link in members if link != core.settings.link]
@@ -136,7 +139,7 @@
 
     A node whose clock was set back then raises its incarnation.
     """
-    held = core.book.get(Kind.MEMBER, received.sender)
+    held = core.state_table.get(UpdateKind.MEMBER, received.sender)
     if not isinstance(received.message, Hello) or held is None:
         return
     address = received.message.link
@@ -145,4 +148,4 @@
             return
         core.links.open(Link(address, dialled=False, opened=source.now))
         core.outbox.dial(address)
-    core.outbox.send(address, Statements((held,)))
+    core.outbox.send(address, StateUpdates((held,)))
--- a/hillfield/fleet/messages.py
+++ b/hillfield/fleet/messages.py
@@ -12,11 +12,11 @@
 
 
 class Hello(Struct, frozen=True, array_like=True, tag=1):
-    """Request a link, or grant it if `asks` is False."""
+    """Request a link, or grant it if `is_request` is False."""
 
     link: Address
     locality: Locality
-    asks: bool
+    is_request: bool
 
 
 class Goodbye(Struct, frozen=True, array_like=True, tag=2):
@@ -41,7 +41,7 @@
     read_failed: bool = False
 
 
-class Statement(Struct, frozen=True, array_like=True):
+class StateUpdate(Struct, frozen=True, array_like=True):
     """Carry a part of one node's state; only that node writes it.
 
     `kind` is one of the letters of `hillfield.fleet.records.Kind`. Of two
@@ -61,10 +61,10 @@
         return self.incarnation, self.version
 
 
-class Statements(Struct, frozen=True, array_like=True, tag=4):
+class StateUpdates(Struct, frozen=True, array_like=True, tag=4):
     """Carry state updates, the sender's own or forwarded ones."""
 
-    updates: tuple[Statement, ...]
+    updates: tuple[StateUpdate, ...]
 
 
 class Entries(Struct, frozen=True, array_like=True, tag=5):
@@ -123,7 +123,7 @@
     Hello
     | Goodbye
     | Heartbeat
-    | Statements
+    | StateUpdates
     | Entries
     | Have
     | Want
--- a/hillfield/fleet/outages.py
+++ b/hillfield/fleet/outages.py
@@ -12,23 +12,23 @@
 from msgspec.structs import replace
 
 from hillfield.configuration.entries import Entry
-from hillfield.fleet.loading import (
-    DOMAINS,
-    FIRST_PORT,
-    REGIONS,
-    name_of,
-)
 from hillfield.fleet.mesh import TICK, Mesh
-from hillfield.fleet.state import FleetState
-from hillfield.fleet.traffic import start_mesh
 from hillfield.fleet.mesh_observation import (
     WAIT_LIMIT,
     WINDOW,
-    have_all_members,
     count_received_bytes,
     find_busiest_window,
+    have_all_members,
     wait_until,
 )
+from hillfield.fleet.state import FleetState
+from hillfield.fleet.synthetic_fleet import (
+    DOMAINS,
+    FIRST_PORT,
+    REGIONS,
+    make_node_name,
+)
+from hillfield.fleet.traffic import start_mesh
 from hillfield.model import Address, Target, TargetState
 
 LOST_DOMAIN: Final = 3
@@ -111,7 +111,7 @@
     for state, key in zip(states, KEYS, strict=True):
         state.submit(Entry(key, 2, key.encode()))
     mesh.run(WINDOW)
-    before = mesh.carried_bytes
+    before = mesh.delivered_bytes
     mesh.cut.clear()
     members = wait_until(mesh, have_all_members)
     entries = members + wait_until(mesh, _have_entries)
@@ -120,7 +120,7 @@
         apart=apart,
         members=members,
         entries=entries,
-        received_bytes=(mesh.carried_bytes - before) / nodes,
+        received_bytes=(mesh.delivered_bytes - before) / nodes,
     )
 
 
@@ -160,13 +160,13 @@
 
 def _have_entries(mesh: Mesh) -> bool:
     return all(
-        min(map(state.core.ledger.revision_of, KEYS)) > 0
+        min(map(state.core.entry_index.revision_of, KEYS)) > 0
         for state in mesh.states.values()
     )
 
 
 def _count_with_targets(mesh: Mesh, lost: tuple[Address, ...]) -> int:
-    names = {name_of(address.port - FIRST_PORT) for address in lost}
+    names = {make_node_name(address.port - FIRST_PORT) for address in lost}
     return sum(
         any(state.core.view.lists_node(name) for name in names)
         for state in mesh.states.values()
--- a/hillfield/fleet/outbox.py
+++ b/hillfield/fleet/outbox.py
@@ -5,12 +5,12 @@
 from typing import Final
 
 from hillfield.events import Occurrence
-from hillfield.fleet.effects import Dial, Effect, Disconnect, Report, SendTo
+from hillfield.fleet.effects import Dial, Disconnect, Effect, Report, SendTo
 from hillfield.fleet.messages import (
     Have,
     Message,
-    Statement,
-    Statements,
+    StateUpdate,
+    StateUpdates,
     Version,
 )
 from hillfield.fleet.pages import split_into_pages
@@ -30,7 +30,7 @@
 class Batch:
     """Hold what waits for one link; a newer update replaces an older one."""
 
-    updates: dict[str, Statement] = field(default_factory=dict)
+    updates: dict[str, StateUpdate] = field(default_factory=dict)
     versions: dict[str, Version] = field(default_factory=dict)
 
 
@@ -94,7 +94,7 @@
     def queue_update(
         self,
         peer: Address,
-        update: Statement,
+        update: StateUpdate,
         *,
         cross_domain: bool = False,
     ) -> None:
@@ -104,7 +104,7 @@
         if len(waiting) < BATCH_LIMIT:
             waiting[update.kind + update.name] = update
 
-    def drop_known(self, peer: Address, known: Statement) -> None:
+    def drop_known(self, peer: Address, known: StateUpdate) -> None:
         """Drop an update to a peer that has just sent the same or a newer one."""
         key = known.kind + known.name
         for queue in (self._updates, self._cross_domain):
@@ -132,6 +132,6 @@
     def _flush(self, peer: Address, batch: Batch) -> None:
         limit = self._settings.page_limit
         for page in split_into_pages(tuple(batch.updates.values()), limit):
-            self.send(peer, Statements(page))
+            self.send(peer, StateUpdates(page))
         if batch.versions:
             self.send(peer, Have(tuple(batch.versions.values())))
--- a/hillfield/fleet/peer_discovery.py
+++ b/hillfield/fleet/peer_discovery.py
@@ -7,10 +7,14 @@
 from msgspec import Struct
 
 from hillfield.clocks import monotonic
-from hillfield.fleet.feeds import PAGE_ENTRIES, StoreFeed
 from hillfield.fleet.peering.selection import rank_names
 from hillfield.fleet.service import Fleet
-from hillfield.fleet.slots import SLOTS_PER_DOMAIN, prefix_of, rank_of
+from hillfield.fleet.slots import (
+    SLOTS_PER_DOMAIN,
+    compute_rank,
+    make_relay_prefix,
+)
+from hillfield.fleet.store_feed import PAGE_ENTRIES, StoreFeed
 from hillfield.model import Address, parse_address
 from hillfield.store.paging import Span, read_span
 from hillfield.store.ports import Accepted, Change, Conflict, Store, StoredValue
@@ -78,7 +82,7 @@
     async def register(self) -> bool:
         """Write this node's link address to its key in the store."""
         settings = self._fleet.settings
-        prefix = prefix_of(settings.cluster)
+        prefix = make_relay_prefix(settings.cluster)
         key = f'{prefix}{self._own_domain}/{settings.name}'
         payload = str(settings.link).encode()
         conflict = await self._swap(Change(key, 0, payload))
@@ -107,16 +111,16 @@
         """
         slot = f'{self._own_domain}/0'
         ranked = sorted(
-            rank_of(slot, registration.name)
+            compute_rank(slot, registration.name)
             for registration in self._registered
             if registration.domain == self._own_domain
         )
-        own = rank_of(slot, self._fleet.settings.name)
+        own = compute_rank(slot, self._fleet.settings.name)
         return own in ranked[:SLOTS_PER_DOMAIN]
 
     async def _read(self, *, stale: bool) -> bool:
         """Read the registered addresses."""
-        prefix = prefix_of(self._fleet.settings.cluster)
+        prefix = make_relay_prefix(self._fleet.settings.cluster)
         span = Span(prefix, stale=stale)
         read = await read_span(self._store, span, PAGE_ENTRIES)
         if read.is_error():
--- a/hillfield/fleet/peering/cross_domain.py
+++ b/hillfield/fleet/peering/cross_domain.py
@@ -1,7 +1,7 @@
 """Links between failure domains, and the updates sent over them."""
 
 from hillfield.fleet.core import Core
-from hillfield.fleet.messages import Statement
+from hillfield.fleet.messages import StateUpdate
 from hillfield.fleet.peering.link_table import Link
 
 
@@ -12,7 +12,7 @@
     return link.locality.failure_domain != _home(core)
 
 
-def is_update_sent(core: Core, link: Link, update: Statement) -> bool:
+def is_update_sent(core: Core, link: Link, update: StateUpdate) -> bool:
     """Return whether an update is forwarded over a link.
 
     Over a cross-domain link a node sends only updates of its own failure
@@ -22,9 +22,9 @@
     """
     if not is_cross_domain(core, link):
         return True
-    if not core.own.record.relay_of:
+    if not core.own.record.relay_slot:
         return False
-    record = core.book.records.get(update.name)
+    record = core.state_table.records.get(update.name)
     return record is None or record.locality.failure_domain == _home(core)
 
 
--- a/hillfield/fleet/peering/link_maintenance.py
+++ b/hillfield/fleet/peering/link_maintenance.py
@@ -4,19 +4,19 @@
 
 from msgspec.structs import replace
 
-from hillfield.clocks import TOLERATED
+from hillfield.clocks import LATENESS_TOLERANCE
 from hillfield.events import EventCode
 from hillfield.fleet.core import Core
 from hillfield.fleet.heartbeats import (
-    find_age,
     build_hello,
+    compute_entries_age,
     send_heartbeats,
 )
 from hillfield.fleet.messages import Goodbye
 from hillfield.fleet.peering.link_table import Link
 from hillfield.fleet.peering.selection import PeerCandidates, choose_peers
-from hillfield.fleet.store_reads import WATCHER_READ_AGE
 from hillfield.fleet.records import NodeRecord
+from hillfield.fleet.store_reads import WATCHER_READ_AGE
 from hillfield.model import Address
 
 # Seconds between two ticks from which a node sends its neighbours a hello:
@@ -45,7 +45,7 @@
     gap = now - core.times.ticked
     core.times.ticked = now
     late = gap - core.settings.tick
-    if not TOLERATED < late < float('inf'):
+    if not LATENESS_TOLERANCE < late < float('inf'):
         return
     for link in core.links:
         link.discount_pause(now, late)
@@ -60,7 +60,7 @@
     """Send heartbeats if they are due and no store read will soon cause them."""
     if now - core.times.heartbeat_sent < core.settings.heartbeat:
         return
-    if find_age(core, now) >= WATCHER_READ_AGE + READ_DURATION:
+    if compute_entries_age(core, now) >= WATCHER_READ_AGE + READ_DURATION:
         send_heartbeats(core, now)
 
 
@@ -90,7 +90,7 @@
 
 def update_reachable_peers(core: Core) -> None:
     """Update the reachable peers in this node's record."""
-    names = sorted(link.name for link in core.heard_links())
+    names = sorted(link.name for link in core.reachable_links())
     if tuple(names) != core.own.record.receives_from:
         core.own.record = replace(core.own.record, receives_from=tuple(names))
 
@@ -105,8 +105,8 @@
     core.banned_until = {peer: core.banned_until[peer] for peer in banned}
     others = tuple(
         record
-        for name, record in core.book.records.items()
-        if name in core.book.alive
+        for name, record in core.state_table.records.items()
+        if name in core.state_table.alive
         and name != core.own.record.name
         and record.link not in banned
         and is_link_allowed(core, record)
@@ -138,7 +138,7 @@
 
 def is_link_allowed(core: Core, record: NodeRecord) -> bool:
     """Return whether this node may dial another one."""
-    if not core.settings.sparse or core.own.record.relay_of:
+    if not core.settings.sparse or core.own.record.relay_slot:
         return True
     domain = core.settings.locality.failure_domain
     return record.locality.failure_domain == domain
@@ -146,14 +146,14 @@
 
 def _dial_remembered(core: Core, now: float) -> None:
     """Dial a few remembered addresses whose nodes are no members now."""
-    alone = not core.heard_links()
+    alone = not core.reachable_links()
     if not alone and now - core.times.addresses_tried < DISCOVERY_INTERVAL:
         return
     core.times.addresses_tried = now
     known = {
         record.link
-        for name, record in core.book.records.items()
-        if name in core.book.alive
+        for name, record in core.state_table.records.items()
+        if name in core.state_table.alive
     }
     for address in core.addresses.select_due(now, alone):
         if address not in known:
@@ -161,7 +161,7 @@
 
 
 def _close_surplus(core: Core, now: float, wanted: set[Address]) -> None:
-    reachable = core.heard_links()
+    reachable = core.reachable_links()
     if not wanted <= {link.address for link in reachable}:
         return
     for link in reachable:
--- a/hillfield/fleet/publishing.py
+++ b/hillfield/fleet/publishing.py
@@ -7,7 +7,7 @@
 
 from hillfield.detection.evidence import Evidence
 from hillfield.fleet.core import Core
-from hillfield.fleet.records import Kind
+from hillfield.fleet.records import UpdateKind
 from hillfield.fleet.state_updates import publish
 from hillfield.model import Target
 
@@ -58,7 +58,7 @@
         if self._targets is None:
             return
         core = self._core
-        held = core.book.get(Kind.TARGETS, core.own.record.name)
+        held = core.state_table.get(UpdateKind.TARGETS, core.own.record.name)
         payload = core.codec.encode_targets(
             core.settings.locality,
             self._targets,
@@ -66,7 +66,7 @@
         self._targets = None
         ours = held is not None and held.incarnation == core.own.incarnation
         if held is None or not ours or held.payload != payload:
-            publish(core, now, Kind.TARGETS, payload)
+            publish(core, now, UpdateKind.TARGETS, payload)
 
     def _publish_evidence(self, now: float) -> None:
         self._published = self._evidence
@@ -74,6 +74,6 @@
         publish(
             self._core,
             now,
-            Kind.EVIDENCE,
+            UpdateKind.EVIDENCE,
             self._core.codec.encode_evidence(self._published),
         )
--- a/hillfield/fleet/readiness.py
+++ b/hillfield/fleet/readiness.py
@@ -34,11 +34,11 @@
         _report_waiting(core)
 
 
-def waiting_for(core: Core) -> str:
+def describe_missing_readiness(core: Core) -> str:
     """Describe what keeps this node from being ready; empty if it is."""
     if core.own.ready:
         return ''
-    reachable = core.heard_links()
+    reachable = core.reachable_links()
     if not reachable:
         known = len(core.addresses)
         return (
@@ -51,7 +51,7 @@
             f'a peer with configuration: none of {peers} reachable has it;'
             ' a relay must read it from the store'
         )
-    missing = core.ledger.missing_count
+    missing = core.entry_index.missing_count
     return (
         'the configuration to be the same as that of two neighbours;'
         f' {missing} entries are missing'
@@ -59,9 +59,9 @@
 
 
 def _is_compared(core: Core, now: float) -> bool:
-    ready = [link for link in core.heard_links() if link.ready]
+    ready = [link for link in core.reachable_links() if link.ready]
     synced = [link for link in ready if link.synced]
-    if not synced or core.ledger.missing_count:
+    if not synced or core.entry_index.missing_count:
         return False
     if len(ready) < SYNCED_PEERS_NEEDED:
         return now - core.times.started >= core.settings.settle
@@ -81,6 +81,6 @@
 
 def _report_waiting(core: Core) -> None:
     code = EventCode.WAITING_FOR_CONFIGURATION
-    if not core.heard_links():
+    if not core.reachable_links():
         code = EventCode.WAITING_FOR_PEER
-    core.report(code, detail=waiting_for(core))
+    core.report(code, detail=describe_missing_readiness(core))
--- a/hillfield/fleet/audience.py
+++ b/hillfield/fleet/recipients.py
@@ -10,22 +10,22 @@
 from hillfield.fleet.records import NodeRecord
 
 
-class Audience(Struct, frozen=True):
+class ReportRecipients(Struct, frozen=True):
     """Hold IP addresses of nodes in other failure domains of the region.
 
-    `far` has one node of each domain, which forwards the reports there;
-    `elsewhere` all nodes. Only reports from `elsewhere` are forwarded to the
+    `remote_relays` has one node of each domain, which forwards the reports there;
+    `remote_nodes` all nodes. Only reports from `remote_nodes` are forwarded to the
     own failure domain.
     """
 
-    far: tuple[str, ...] = ()
-    elsewhere: frozenset[str] = frozenset()
+    remote_relays: tuple[str, ...] = ()
+    remote_nodes: frozenset[str] = frozenset()
 
 
 def list_alive(core: Core) -> Iterator[NodeRecord]:
     """Yield the records of the live members."""
-    records = core.book.records
-    for name in core.book.alive & records.keys():
+    records = core.state_table.records
+    for name in core.state_table.alive & records.keys():
         yield records[name]
 
 
@@ -35,10 +35,10 @@
     return [record for record in list_alive(core) if record.name != own]
 
 
-def choose_audience(
+def choose_recipients(
     own: NodeRecord,
     others: Iterable[NodeRecord],
-) -> Audience:
+) -> ReportRecipients:
     """Return the recipients of a node's load reports.
 
     Each other failure domain of the region is reached through one of its
@@ -53,7 +53,7 @@
             domains.setdefault(domain, []).append(other)
     domains.pop(here.failure_domain, None)
     weigh = partial(_weigh, own)
-    return Audience(
+    return ReportRecipients(
         tuple(min(nodes, key=weigh).link.ip for nodes in domains.values()),
         frozenset(node.link.ip for nodes in domains.values() for node in nodes),
     )
--- a/hillfield/fleet/records.py
+++ b/hillfield/fleet/records.py
@@ -16,7 +16,7 @@
 PORT_LIMIT: Final = 65535
 
 
-class Kind(StrEnum):
+class UpdateKind(StrEnum):
     """Name the content of a state update; values are sent on links."""
 
     MEMBER = 'm'
@@ -35,7 +35,7 @@
 class NodeRecord(Struct, frozen=True, array_like=True):
     """Describe a node: its addresses, its locality and its reachable peers.
 
-    `receives_from` names the peers whose messages reach it, `relay_of` the
+    `receives_from` names the peers whose messages reach it, `relay_slot` the
     relay slot that it holds (empty: none).
     """
 
@@ -46,7 +46,7 @@
     caller: Address
     state: NodeState = NodeState.JOINING
     receives_from: tuple[str, ...] = ()
-    relay_of: str = ''
+    relay_slot: str = ''
 
 
 class TargetRow(Struct, frozen=True, array_like=True):
--- a/hillfield/fleet/replication/anti_entropy.py
+++ b/hillfield/fleet/replication/anti_entropy.py
@@ -5,14 +5,14 @@
 
 from hillfield.configuration.entries import Entry
 from hillfield.fleet.core import Core, Subject
-from hillfield.fleet.message_handlers import MessageSource, handle_message
 from hillfield.fleet.heartbeats import receive_confirmation
+from hillfield.fleet.message_handlers import MessageSource, handle_message
 from hillfield.fleet.messages import (
     Entries,
     Hashes,
     Heartbeat,
-    Statement,
-    Statements,
+    StateUpdate,
+    StateUpdates,
     Version,
     Versions,
     Want,
@@ -95,7 +95,7 @@
     wanted = tuple(
         row.key
         for row in message.versions
-        if core.book.is_newer(row.key, row.incarnation, row.version)
+        if core.state_table.is_newer(row.key, row.incarnation, row.version)
     )
     if wanted:
         core.outbox.send(
@@ -178,19 +178,19 @@
             core.outbox.send(link.address, Entries(entries))
         return
     for updates in split_into_pages(tuple(_list_updates(core, keys)), limit):
-        core.outbox.send(link.address, Statements(updates))
+        core.outbox.send(link.address, StateUpdates(updates))
 
 
 def _entries(core: Core, keys: tuple[str, ...]) -> Iterator[Entry]:
     for key in keys:
-        entry = core.ledger.entry(key)
+        entry = core.entry_index.entry(key)
         if entry is not None:
             yield entry
 
 
-def _list_updates(core: Core, keys: tuple[str, ...]) -> Iterator[Statement]:
+def _list_updates(core: Core, keys: tuple[str, ...]) -> Iterator[StateUpdate]:
     for key in keys:
-        update = core.book.get_by_key(key)
+        update = core.state_table.get_by_key(key)
         if update is not None:
             yield update
 
--- a/hillfield/fleet/replication/entry_dissemination.py
+++ b/hillfield/fleet/replication/entry_dissemination.py
@@ -6,9 +6,9 @@
 
 from hillfield.configuration.entries import Entry
 from hillfield.events import EventCode
-from hillfield.fleet.core import Core, Subject, EntrySource
-from hillfield.fleet.message_handlers import MessageSource, handle_message
+from hillfield.fleet.core import Core, EntrySource, Subject
 from hillfield.fleet.heartbeats import confirm_from_link
+from hillfield.fleet.message_handlers import MessageSource, handle_message
 from hillfield.fleet.messages import Entries, Have, Version, Want
 from hillfield.fleet.peering.cross_domain import is_cross_domain
 from hillfield.fleet.peering.link_table import Link
@@ -26,7 +26,7 @@
     entry_source: EntrySource = EntrySource.NEIGHBOUR,
 ) -> bool:
     """Adopt an entry and announce it; return False if it is not newer."""
-    if not core.ledger.adopt(entry):
+    if not core.entry_index.adopt(entry):
         core.count('entry-not-adopted')
         return False
     core.report(
@@ -56,16 +56,16 @@
         now + CROSS_DOMAIN_PULL_DELAY if is_cross_domain(core, link) else -inf
     )
     for version in versions:
-        core.ledger.record_offer(link.address, version, earliest)
+        core.entry_index.record_offer(link.address, version, earliest)
 
 
 def request_missing_entries(core: Core, now: float) -> None:
     """Request entries that are known to be missing, within the window."""
-    if not core.ledger.missing_count:
+    if not core.entry_index.missing_count:
         return
-    peers = tuple(link.address for link in core.heard_links())
+    peers = tuple(link.address for link in core.reachable_links())
     requests: dict[Address, list[str]] = defaultdict(list)
-    for missing in core.ledger.select_pulls(now, peers):
+    for missing in core.entry_index.select_pulls(now, peers):
         requests[missing.peer].append(missing.version.key)
     for peer, keys in requests.items():
         core.outbox.send(peer, Want(Subject.ENTRIES, tuple(keys)))
--- a/hillfield/fleet/service.py
+++ b/hillfield/fleet/service.py
@@ -15,22 +15,22 @@
 from hillfield.events import EventCode, Journal, Occurrence
 from hillfield.fleet.effects import (
     Dial,
+    Disconnect,
     Effect,
     Event,
-    Disconnect,
     Refused,
     Report,
     SendTo,
     Ticked,
 )
 from hillfield.fleet.envelope import Codec, StampSource
-from hillfield.fleet.findings import NodeEvidence
+from hillfield.fleet.evidence_view import NodeEvidence
 from hillfield.fleet.replication.entry_index import EntryStore
 from hillfield.fleet.settings import FleetSettings
 from hillfield.fleet.state import FleetState
 from hillfield.link import LinkError, LinkLayer, LinkSettings
 from hillfield.model import Address, Target
-from hillfield.timers import Appointment, find_timer
+from hillfield.timers import ScheduledCall, get_shared_timer
 
 # Seconds that the goodbyes of a stopping node have to be sent.
 GOODBYE_DELAY: Final = 0.2
@@ -113,7 +113,7 @@
         self._listeners = listeners
         self._journal = journal
         self._runner = EffectRunner(self.links, self._codec, journal)
-        self._ticking: Appointment | None = None
+        self._ticking: ScheduledCall | None = None
 
     async def start(self) -> Result[Address, LinkError]:
         """Listen, start to discover peers and return the link address."""
@@ -122,7 +122,7 @@
             case Result(tag='ok', ok=address):
                 self.settings = replace(self.settings, link=address)
                 self.state = FleetState(self.settings, self._store)
-                self._ticking = find_timer().every(
+                self._ticking = get_shared_timer().every(
                     self.settings.tick,
                     self._tick,
                 )
@@ -191,10 +191,10 @@
                 service,
                 core.view.targets_of(service),
             )
-        for node in core.findings.pop_changed():
+        for node in core.evidence_view.pop_changed():
             if node != self.settings.name:
                 self._listeners.evidence_changed(
-                    core.findings.get_evidence(node)
+                    core.evidence_view.get_evidence(node)
                 )
-        for entry in core.ledger.pop_adopted():
+        for entry in core.entry_index.pop_adopted():
             self._listeners.entry_adopted(entry)
--- a/hillfield/fleet/slots.py
+++ b/hillfield/fleet/slots.py
@@ -20,10 +20,10 @@
     wait: float
 
 
-def prefix_of(cluster: str) -> str:
+def make_relay_prefix(cluster: str) -> str:
     """Return the key prefix of relay entries.
 
-    >>> prefix_of('north')
+    >>> make_relay_prefix('north')
     '/hillfield/north/relays/'
     """
     return f'/hillfield/{cluster}/relays/'
@@ -50,24 +50,25 @@
     domain = core.settings.locality.failure_domain
     peers = [
         record
-        for name, record in core.book.records.items()
-        if name in core.book.alive and record.locality.failure_domain == domain
+        for name, record in core.state_table.records.items()
+        if name in core.state_table.alive
+        and record.locality.failure_domain == domain
     ]
-    held = {record.relay_of for record in peers}
+    held = {record.relay_slot for record in peers}
     slots = (f'{domain}/{number}' for number in range(SLOTS_PER_DOMAIN))
     opened = next((slot for slot in slots if slot not in held), None)
-    if opened is None or core.own.record.relay_of:
+    if opened is None or core.own.record.relay_slot:
         return None
-    rivals = [record.name for record in peers if not record.relay_of]
+    rivals = [record.name for record in peers if not record.relay_slot]
     return OpenSlot(opened, _compute_wait(core.settings.name, opened, rivals))
 
 
-def rank_of(slot: str, name: str) -> int:
+def compute_rank(slot: str, name: str) -> int:
     """Return a node's rank for a slot, the same at all nodes; lowest first."""
     return hash_text(f'{slot}>{name}')
 
 
 def _compute_wait(own_name: str, slot: str, rivals: list[str]) -> float:
-    mine = rank_of(slot, own_name)
-    before = sum(rank_of(slot, rival) < mine for rival in rivals)
+    mine = compute_rank(slot, own_name)
+    before = sum(compute_rank(slot, rival) < mine for rival in rivals)
     return min(before, MAX_STAGGER_STEPS) * CLAIM_STAGGER
--- a/hillfield/fleet/state.py
+++ b/hillfield/fleet/state.py
@@ -7,8 +7,8 @@
 from hillfield.configuration.entries import Entry
 from hillfield.detection.evidence import Evidence
 from hillfield.fleet import membership
-from hillfield.fleet.core_builder import build_core
 from hillfield.fleet.core import EntrySource
+from hillfield.fleet.core_builder import build_core
 from hillfield.fleet.effects import Effect, Event, Ticked
 from hillfield.fleet.event_handlers import apply_event
 from hillfield.fleet.peering import link_maintenance
@@ -73,7 +73,7 @@
 
     def set_relay_slot(self, slot: str) -> None:
         """Publish which relay slot this node holds (empty: none)."""
-        self.core.own.record = replace(self.core.own.record, relay_of=slot)
+        self.core.own.record = replace(self.core.own.record, relay_slot=slot)
 
     def add_address(self, now: float, address: Address) -> None:
         """Remember an address at which a peer may listen."""
--- a/hillfield/fleet/state_table.py
+++ b/hillfield/fleet/state_table.py
@@ -3,12 +3,12 @@
 from collections import deque
 from collections.abc import Iterator, Mapping
 
-from hillfield.fleet.messages import Statement, Version
-from hillfield.fleet.records import Kind, NodeRecord, RecordCodec
+from hillfield.fleet.messages import StateUpdate, Version
+from hillfield.fleet.records import NodeRecord, RecordCodec, UpdateKind
 from hillfield.fleet.replication.summary import Summary
 
 # Kinds that neighbours compare by hashes; evidence is published again instead.
-SUMMARIZED_KINDS = frozenset((Kind.MEMBER, Kind.TARGETS))
+SUMMARIZED_KINDS = frozenset((UpdateKind.MEMBER, UpdateKind.TARGETS))
 
 
 def make_update_key(kind: str, name: str) -> str:
@@ -53,17 +53,17 @@
         self.members_stale = False
         self.held_bytes = 0
         self._codec = codec
-        self._held: dict[str, Statement] = {}
+        self._held: dict[str, StateUpdate] = {}
 
     def __len__(self) -> int:
         """Return how many updates are held."""
         return len(self._held)
 
-    def get(self, kind: str, name: str) -> Statement | None:
+    def get(self, kind: str, name: str) -> StateUpdate | None:
         """Return a node's newest update of a kind."""
         return self._held.get(make_update_key(kind, name))
 
-    def get_by_key(self, key: str) -> Statement | None:
+    def get_by_key(self, key: str) -> StateUpdate | None:
         """Return an update by its key."""
         return self._held.get(key)
 
@@ -74,12 +74,12 @@
             return True
         return (incarnation, version) > (held.incarnation, held.version)
 
-    def accept(self, update: Statement) -> bool:
+    def accept(self, update: StateUpdate) -> bool:
         """Store an update if it is newer than the held one."""
         key = make_update_key(update.kind, update.name)
         if not self.is_newer(key, update.incarnation, update.version):
             return False
-        if update.kind == Kind.MEMBER and not self._adopt_record(update):
+        if update.kind == UpdateKind.MEMBER and not self._adopt_record(update):
             return False
         self._drop(key)
         self._held[key] = update
@@ -104,7 +104,7 @@
     def forget(self, name: str) -> None:
         """Drop all updates of a lost node."""
         self.records.pop(name, None)
-        for kind in Kind:
+        for kind in UpdateKind:
             key = make_update_key(kind, name)
             self._drop(key)
             self.summary.drop(key)
@@ -114,7 +114,7 @@
         if held is not None:
             self.held_bytes -= len(held.payload)
 
-    def _adopt_record(self, update: Statement) -> bool:
+    def _adopt_record(self, update: StateUpdate) -> bool:
         record = self._codec.decode_record(update.payload)
         if record is None or record.name != update.name:
             return False
@@ -124,16 +124,16 @@
         self.records[update.name] = record
         return True
 
-    def _summarize(self, update: Statement) -> None:
+    def _summarize(self, update: StateUpdate) -> None:
         if update.kind in SUMMARIZED_KINDS:
             key = make_update_key(update.kind, update.name)
             self.summary.put(
                 Version(key, update.incarnation, update.version),
             )
 
-    def _updates_of(self, names: frozenset[str]) -> Iterator[Statement]:
+    def _updates_of(self, names: frozenset[str]) -> Iterator[StateUpdate]:
         for name in names:
-            for kind in Kind:
+            for kind in UpdateKind:
                 held = self.get(kind, name)
                 if held is not None:
                     yield held
--- a/hillfield/fleet/state_updates.py
+++ b/hillfield/fleet/state_updates.py
@@ -3,12 +3,12 @@
 from typing import Final
 
 from hillfield.events import EventCode
-from hillfield.fleet.state_table import StateTable, make_update_key
 from hillfield.fleet.core import Core
-from hillfield.fleet.messages import Statement
-from hillfield.fleet.peering.cross_domain import is_update_sent, is_cross_domain
+from hillfield.fleet.messages import StateUpdate
+from hillfield.fleet.peering.cross_domain import is_cross_domain, is_update_sent
 from hillfield.fleet.peering.link_table import Link
-from hillfield.fleet.records import Kind
+from hillfield.fleet.records import UpdateKind
+from hillfield.fleet.state_table import StateTable, make_update_key
 
 # Bounds of what is held of all nodes together, and of one update.
 UPDATE_LIMIT: Final = 8192
@@ -21,13 +21,13 @@
 # Seconds within which a second conflict over this node's name is another
 # process with the same name, not a clock that was set back.
 NAME_CONFLICT_WINDOW: Final = 30.0
-KINDS: Final = frozenset(kind.value for kind in Kind)
+KINDS: Final = frozenset(kind.value for kind in UpdateKind)
 
 
 def receive_update(
     core: Core,
     now: float,
-    update: Statement,
+    update: StateUpdate,
     source: Link | None,
 ) -> None:
     """Accept a peer's update and forward it if it is newer than the held one."""
@@ -41,12 +41,12 @@
             return
     if source is not None:
         core.outbox.drop_known(source.address, update)
-    if core.book.accept(update):
+    if core.state_table.accept(update):
         _forward(core, update, source)
         _apply(core, now, update)
 
 
-def find_update_problem(core: Core, update: Statement) -> str:
+def find_update_problem(core: Core, update: StateUpdate) -> str:
     """Return why an update is refused; empty if it is acceptable.
 
     Updates of an unknown kind would never be forgotten. A version near the
@@ -61,31 +61,33 @@
     long = len(update.name) > NAME_LIMIT
     if long or len(update.payload) > PAYLOAD_LIMIT:
         return 'oversized-statement'
-    known = core.book.get_by_key(make_update_key(update.kind, update.name))
-    return '' if known or _is_within_limits(core.book) else 'no-room'
+    known = core.state_table.get_by_key(
+        make_update_key(update.kind, update.name)
+    )
+    return '' if known or _is_within_limits(core.state_table) else 'no-room'
 
 
 def _is_within_limits(table: StateTable) -> bool:
     return len(table) < UPDATE_LIMIT and table.held_bytes < HELD_BYTES_LIMIT
 
 
-def publish(core: Core, now: float, kind: Kind, payload: bytes) -> None:
+def publish(core: Core, now: float, kind: UpdateKind, payload: bytes) -> None:
     """Publish an update of this node's own state."""
     version = core.own.versions.get(kind, 0) + 1
     core.own.versions[kind] = version
-    update = Statement(
+    update = StateUpdate(
         kind=kind,
         name=core.own.record.name,
         incarnation=core.own.incarnation,
         version=version,
         payload=payload,
     )
-    core.book.accept(update)
+    core.state_table.accept(update)
     _forward(core, update, None)
     _apply(core, now, update)
 
 
-def _forward(core: Core, update: Statement, source: Link | None) -> None:
+def _forward(core: Core, update: StateUpdate, source: Link | None) -> None:
     for link in core.links:
         if (
             link.up
@@ -99,26 +101,26 @@
             )
 
 
-def _apply(core: Core, now: float, update: Statement) -> None:
+def _apply(core: Core, now: float, update: StateUpdate) -> None:
     name = update.name
     own = name == core.own.record.name
-    if name not in core.book.alive and not own:
+    if name not in core.state_table.alive and not own:
         core.lost_since.setdefault(name, now)
-    if update.kind == Kind.EVIDENCE:
-        core.findings.record_update(now, name)
-    if update.kind == Kind.TARGETS:
-        if own or name in core.book.alive or core.view.lists_node(name):
+    if update.kind == UpdateKind.EVIDENCE:
+        core.evidence_view.record_update(now, name)
+    if update.kind == UpdateKind.TARGETS:
+        if own or name in core.state_table.alive or core.view.lists_node(name):
             core.view.update_node(name)
 
 
-def _resolve_name_conflict(core: Core, now: float, update: Statement) -> None:
+def _resolve_name_conflict(core: Core, now: float, update: StateUpdate) -> None:
     """Raise this node's incarnation above one that the fleet holds.
 
     A single conflict means that the clock was set back. Repeated conflicts
     mean that another process uses the same name; both would then raise their
     incarnations without end.
     """
-    own = core.book.get_by_key(make_update_key(update.kind, update.name))
+    own = core.state_table.get_by_key(make_update_key(update.kind, update.name))
     if update == own:
         return
     mine = (core.own.incarnation, core.own.versions.get(update.kind, 0))
@@ -133,6 +135,6 @@
     core.own.incarnation = update.incarnation + 1
     core.report(EventCode.INCARNATION_RAISED, peer=update.name)
     for kind in core.own.versions:
-        held = core.book.get(kind, update.name)
+        held = core.state_table.get(kind, update.name)
         if held is not None:
-            publish(core, now, Kind(kind), held.payload)
+            publish(core, now, UpdateKind(kind), held.payload)
--- a/hillfield/fleet/feeds.py
+++ b/hillfield/fleet/store_feed.py
@@ -10,8 +10,8 @@
 from hillfield.events import EventCode, Journal, Occurrence
 from hillfield.fleet.core import EntrySource
 from hillfield.fleet.effects import StoreRead
-from hillfield.fleet.store_submission import submit_snapshot, submit_value
 from hillfield.fleet.service import Fleet
+from hillfield.fleet.store_submission import submit_snapshot, submit_value
 from hillfield.store.following import Followed, Follower, FollowSettings
 from hillfield.store.paging import Snapshot, Span, read_span
 from hillfield.store.ports import Store, StoredValue, StoreError
@@ -91,7 +91,7 @@
 
     async def _read(self, prefix: str) -> bool:
         state = self._fleet.state
-        known = state.core.ledger.newest_under(prefix)
+        known = state.core.entry_index.newest_under(prefix)
         read = await read_span(self._store, Span(prefix), PAGE_ENTRIES)
         self._submit(prefix, read.error if read.is_error() else read.ok, known)
         return read.is_ok()
@@ -104,7 +104,7 @@
             self._random,
         )
         state = self._fleet.state
-        entry_index = state.core.ledger
+        entry_index = state.core.entry_index
         known = entry_index.newest_under(prefix)
         async for followed in follower.follow():
             self._submit(prefix, followed, known)
--- a/hillfield/fleet/store_reads.py
+++ b/hillfield/fleet/store_reads.py
@@ -10,10 +10,10 @@
 from collections.abc import Iterator
 from typing import Final
 
-from hillfield.fleet.audience import list_others
 from hillfield.fleet.core import Core
-from hillfield.fleet.heartbeats import find_age
+from hillfield.fleet.heartbeats import compute_entries_age
 from hillfield.fleet.peering.link_table import Link
+from hillfield.fleet.recipients import list_others
 from hillfield.fleet.records import NodeRecord
 from hillfield.fleet.replication.summary import hash_text
 
@@ -37,10 +37,10 @@
 
 def is_read_due(core: Core, now: float) -> bool:
     """Return whether this node has to read the store now."""
-    age = find_age(core, now)
+    age = compute_entries_age(core, now)
     if age < WATCHER_READ_AGE:
         return False
-    if core.own.record.relay_of:
+    if core.own.record.relay_slot:
         return age >= compute_watcher_age_limit(core, now)
     if age < _compute_age_limit(core, now):
         return False
@@ -62,7 +62,7 @@
 
     Of those due, the one with the lowest hash of its name reads.
     """
-    due = [link for link in core.heard_links() if _is_due(link, now)]
+    due = [link for link in core.reachable_links() if _is_due(link, now)]
     if sum(link.read_failed for link in due) >= FAILED_READS_LIMIT:
         return True
     names = [link.name for link in due if not link.read_failed]
@@ -72,7 +72,7 @@
 
 def is_cut_off(core: Core, now: float) -> bool:
     """Return whether no neighbour has sent a message recently."""
-    active = [link.last_activity for link in core.heard_links()]
+    active = [link.last_activity for link in core.reachable_links()]
     return now - max(active, default=0) > ISOLATION_TIMEOUT
 
 
@@ -87,10 +87,10 @@
 
 def _list_watchers(core: Core) -> Iterator[NodeRecord]:
     yield core.own.record
-    yield from (record for record in list_others(core) if record.relay_of)
+    yield from (record for record in list_others(core) if record.relay_slot)
 
 
 def _rank_watcher(record: NodeRecord) -> tuple[str, str, str]:
     """Return a sort key that puts a domain's watchers far apart."""
-    domain, _, number = record.relay_of.rpartition('/')
+    domain, _, number = record.relay_slot.rpartition('/')
     return number, domain, record.name
--- a/hillfield/fleet/relay.py
+++ b/hillfield/fleet/store_relay.py
@@ -7,14 +7,14 @@
 
 from hillfield.clocks import monotonic
 from hillfield.events import EventCode, Journal, Occurrence
-from hillfield.fleet.feeds import FeedSettings, StoreFeed
 from hillfield.fleet.service import Fleet
 from hillfield.fleet.slots import (
     OpenSlot,
     find_open_slot,
-    prefix_of,
     make_configuration_prefixes,
+    make_relay_prefix,
 )
+from hillfield.fleet.store_feed import FeedSettings, StoreFeed
 from hillfield.model import parse_address
 from hillfield.store.lease_clock import LeaseSettings
 from hillfield.store.leases import LeaseKeeper
@@ -36,7 +36,7 @@
 LEASE: Final = LeaseSettings(seconds=5, margin=1)
 
 
-class Relay:
+class StoreRelay:
     """Feed store entries to the fleet while this node holds a relay slot.
 
     A holder that was paused for longer than its lease does no harm: its
@@ -80,7 +80,7 @@
 
     async def _discover_peers(self) -> None:
         """Read the relay entries with growing pauses until a peer is up."""
-        if self._fleet.state.core.heard_links():
+        if self._fleet.state.core.reachable_links():
             self._discovery_pause = DISCOVERY_PAUSE
             return
         now = monotonic()
@@ -94,7 +94,7 @@
         await self._read_relays()
 
     async def _read_relays(self) -> None:
-        prefix = prefix_of(self._fleet.settings.cluster)
+        prefix = make_relay_prefix(self._fleet.settings.cluster)
         read = await self._store.read_range(prefix, '', RELAY_ENTRIES_READ)
         if read.is_error():
             self._feed.report_error(read.error)
@@ -112,7 +112,7 @@
         again = find_open_slot(self._fleet.state.core)
         if again is None or again.slot != open_slot.slot:
             return
-        key = prefix_of(self._fleet.settings.cluster) + open_slot.slot
+        key = make_relay_prefix(self._fleet.settings.cluster) + open_slot.slot
         current = await self._store.get(key)
         if current.is_error():
             self._feed.report_error(current.error)
--- a/hillfield/fleet/store_submission.py
+++ b/hillfield/fleet/store_submission.py
@@ -40,7 +40,7 @@
     present = {stored.key for stored in snapshot.entries}
     for stored in snapshot.entries:
         submit_value(state, stored, EntrySource.READ)
-    for key in core.ledger.keys_under(prefix):
+    for key in core.entry_index.keys_under(prefix):
         if key not in present:
             # If the key was written after the snapshot, its revision is
             # higher and this deletion is refused.
--- a/hillfield/fleet/openrelay.py
+++ b/hillfield/fleet/store_watcher.py
@@ -14,16 +14,16 @@
 from hillfield.events import EventCode, Journal, Occurrence
 from hillfield.fleet.backoff import Backoff
 from hillfield.fleet.core import Core
-from hillfield.fleet.feeds import FeedSettings, StoreFeed
-from hillfield.fleet.heartbeats import find_age
+from hillfield.fleet.heartbeats import compute_entries_age
 from hillfield.fleet.peer_discovery import PeerDiscovery
-from hillfield.fleet.store_reads import is_read_due
 from hillfield.fleet.records import NodeRecord
 from hillfield.fleet.service import Fleet
-from hillfield.fleet.slots import find_open_slot, rank_of
+from hillfield.fleet.slots import compute_rank, find_open_slot
+from hillfield.fleet.store_feed import FeedSettings, StoreFeed
+from hillfield.fleet.store_reads import is_read_due
 from hillfield.store.ports import Store
 from hillfield.store.retries import Circuit, RetrySettings
-from hillfield.timers import find_timer
+from hillfield.timers import get_shared_timer
 
 # Seconds between checks of which nodes watch the store.
 CHECK_INTERVAL: Final = 0.3
@@ -56,7 +56,7 @@
 Step = Callable[[], Awaitable[bool]]
 
 
-class OpenRelay:
+class StoreWatcher:
     """Feed the store's entries to the fleet for as long as `run` runs."""
 
     def __init__(
@@ -107,8 +107,8 @@
         """Read registered addresses while no neighbour is reachable."""
         discovering = Backoff(DISCOVERY_PAUSE, DISCOVERY_PAUSE_LIMIT)
         while True:
-            await find_timer().pause(CHECK_INTERVAL)
-            reachable = self._fleet.state.core.heard_links()
+            await get_shared_timer().sleep(CHECK_INTERVAL)
+            reachable = self._fleet.state.core.reachable_links()
             if discovering.is_due(monotonic(), succeeded=bool(reachable)):
                 await self._discovery.discover()
 
@@ -119,9 +119,9 @@
         as_other = Backoff(READ_RETRY_PAUSE, READ_RETRY_LIMIT)
         while True:
             core = self._fleet.state.core
-            watches = bool(core.own.record.relay_of)
+            watches = bool(core.own.record.relay_slot)
             backoff = as_watcher if watches else as_other
-            await find_timer().pause(
+            await get_shared_timer().sleep(
                 WATCHER_CHECK_INTERVAL if watches else READ_CHECK_INTERVAL
             )
             now = monotonic()
@@ -131,9 +131,9 @@
     async def _read(self) -> None:
         """Read the store; record an event if this node is no watcher."""
         core = self._fleet.state.core
-        if not core.own.record.relay_of:
-            age = find_age(core, monotonic())
-            reachable = len(core.heard_links())
+        if not core.own.record.relay_slot:
+            age = compute_entries_age(core, monotonic())
+            reachable = len(core.reachable_links())
             detail = f'{age:.1f} s old, {reachable} reachable neighbours'
             self._journal.record(
                 Occurrence(EventCode.STORE_NOT_FOLLOWED, detail=detail),
@@ -158,7 +158,7 @@
                 again = find_open_slot(self._fleet.state.core)
                 if again is not None and again.slot == open_slot.slot:
                     await self._hold(open_slot.slot)
-            await find_timer().pause(CHECK_INTERVAL)
+            await get_shared_timer().sleep(CHECK_INTERVAL)
 
     async def _hold(self, slot: str) -> None:
         """Watch the store until a node of lower rank does so for this slot."""
@@ -169,7 +169,7 @@
         feeding = asyncio.create_task(self._feed.run())
         try:  # noqa: WPS501 -- the feed ends also when cancelled
             while not self._is_outranked(slot):
-                await find_timer().pause(CHECK_INTERVAL)
+                await get_shared_timer().sleep(CHECK_INTERVAL)
                 await self._reach_other_domains()
         finally:
             await _cancel(feeding)
@@ -188,11 +188,11 @@
     def _is_outranked(self, slot: str) -> bool:
         """Return whether a live node of a lower rank holds the slot too."""
         core = self._fleet.state.core
-        mine = rank_of(slot, core.settings.name)
+        mine = compute_rank(slot, core.settings.name)
         return any(
-            _holds(record, slot) and rank_of(slot, name) < mine
-            for name, record in core.book.records.items()
-            if name in core.book.alive and name != core.settings.name
+            _holds(record, slot) and compute_rank(slot, name) < mine
+            for name, record in core.state_table.records.items()
+            if name in core.state_table.alive and name != core.settings.name
         )
 
 
@@ -201,12 +201,12 @@
     home = core.settings.locality.failure_domain
     return any(
         link.locality is not None and link.locality.failure_domain != home
-        for link in core.heard_links()
+        for link in core.reachable_links()
     )
 
 
 def _holds(record: NodeRecord, slot: str) -> bool:
-    return record.relay_of == slot
+    return record.relay_slot == slot
 
 
 async def _cancel(feeding: asyncio.Task[None]) -> None:
--- a/hillfield/fleet/loading.py
+++ b/hillfield/fleet/synthetic_fleet.py
@@ -5,8 +5,13 @@
 from hillfield.fleet.effects import Ticked
 from hillfield.fleet.envelope import Received
 from hillfield.fleet.mesh import MemoryStore
-from hillfield.fleet.messages import Heartbeat, Hello, Statement, Statements
-from hillfield.fleet.records import Kind, NodeRecord, NodeState, RecordCodec
+from hillfield.fleet.messages import Heartbeat, Hello, StateUpdate, StateUpdates
+from hillfield.fleet.records import (
+    NodeRecord,
+    NodeState,
+    RecordCodec,
+    UpdateKind,
+)
 from hillfield.fleet.settings import FleetSettings
 from hillfield.fleet.state import FleetState
 from hillfield.model import Address, Locality, Target, TargetId
@@ -22,16 +27,16 @@
 OWN_NUMBER: Final = 0
 
 
-def name_of(number: int) -> str:
+def make_node_name(number: int) -> str:
     """Return the name of a node.
 
-    >>> name_of(7)
+    >>> make_node_name(7)
     'node-0007'
     """
     return 'node-{0:04d}'.format(number)
 
 
-def settings_of(number: int) -> FleetSettings:
+def make_node_settings(number: int) -> FleetSettings:
     """Return the settings of a node of the synthetic fleet."""
     address = Address('127.0.0.1', FIRST_PORT + number)
     region = number % REGIONS
@@ -39,7 +44,7 @@
     return FleetSettings(
         cluster='measured',
         key=b'measured',
-        name=name_of(number),
+        name=make_node_name(number),
         incarnation=1,
         locality=Locality(f'region-{region}', f'domain-{domain}', f'h{number}'),
         link=address,
@@ -48,14 +53,14 @@
     )
 
 
-def member_statement(
+def make_member_update(
     codec: RecordCodec,
     number: int,
     nodes: int,
     version: int,
-) -> Statement:
+) -> StateUpdate:
     """Return a node's record, which receives from neighbours on both sides."""
-    settings = settings_of(number)
+    settings = make_node_settings(number)
     steps = (1, nodes // NEIGHBOUR_DIVISOR, nodes // 2)
     senders = {(number + step) % nodes for step in steps}
     senders |= {(number - step) % nodes for step in steps}
@@ -66,19 +71,19 @@
         control=settings.control,
         caller=settings.caller,
         state=NodeState.SERVING,
-        receives_from=tuple(sorted(name_of(one) for one in senders)),
+        receives_from=tuple(sorted(make_node_name(one) for one in senders)),
     )
     payload = codec.encode_record(record)
-    return Statement(Kind.MEMBER, settings.name, 1, version, payload)
+    return StateUpdate(UpdateKind.MEMBER, settings.name, 1, version, payload)
 
 
-def targets_statement(
+def make_targets_update(
     codec: RecordCodec,
     number: int,
     targets: int,
-) -> Statement:
+) -> StateUpdate:
     """Return the update with a host's targets."""
-    home = settings_of(number).locality
+    home = make_node_settings(number).locality
     listed = tuple(
         Target(
             id=TargetId(
@@ -93,30 +98,32 @@
         for index in range(targets)
     )
     payload = codec.encode_targets(home, listed)
-    return Statement(Kind.TARGETS, name_of(number), 1, 1, payload)
+    return StateUpdate(
+        UpdateKind.TARGETS, make_node_name(number), 1, 1, payload
+    )
 
 
-def receive_from_peer(message: Hello | Heartbeat | Statements) -> Received:
+def receive_from_peer(message: Hello | Heartbeat | StateUpdates) -> Received:
     """Return a message as received from the only neighbour."""
-    return Received(name_of(1), 1, message)
+    return Received(make_node_name(1), 1, message)
 
 
 def load_state(nodes: int, targets: int) -> FleetState:
     """Return a state with all nodes alive and `targets` targets per host."""
-    settings = settings_of(OWN_NUMBER)
-    peer = settings_of(1)
+    settings = make_node_settings(OWN_NUMBER)
+    peer = make_node_settings(1)
     state = FleetState(settings, MemoryStore())
     state.handle_event(START, Ticked())
-    hello = Hello(peer.link, peer.locality, asks=True)
+    hello = Hello(peer.link, peer.locality, is_request=True)
     state.handle_event(START, receive_from_peer(hello))
     state.handle_event(START, receive_from_peer(Heartbeat(0, 0, ready=True)))
     codec = state.core.codec
     for number in range(1, nodes):
         pair = (
-            member_statement(codec, number, nodes, 1),
-            targets_statement(codec, number, targets),
+            make_member_update(codec, number, nodes, 1),
+            make_targets_update(codec, number, targets),
         )
-        state.handle_event(START, receive_from_peer(Statements(pair)))
+        state.handle_event(START, receive_from_peer(StateUpdates(pair)))
     state.handle_event(START + SECOND, Ticked())
     state.handle_event(START + SECOND + SECOND, Ticked())
     return state
--- a/hillfield/fleet/tests/test_cross_domain_links.py
+++ b/hillfield/fleet/tests/test_cross_domain_links.py
@@ -7,7 +7,7 @@
 from hillfield.configuration.entries import Entry
 from hillfield.fleet.envelope import Codec
 from hillfield.fleet.mesh import Mesh
-from hillfield.fleet.messages import Entries, Statements, Version, Want
+from hillfield.fleet.messages import Entries, StateUpdates, Version, Want
 from hillfield.fleet.replication.entry_dissemination import (
     CROSS_DOMAIN_PULL_DELAY,
 )
@@ -101,7 +101,7 @@
 
 
 def revisions_of(mesh):
-    entry_indexes = (state.core.ledger for state in mesh.states.values())
+    entry_indexes = (state.core.entry_index for state in mesh.states.values())
     return {entry_index.revision_of('/k') for entry_index in entry_indexes}
 
 
@@ -125,7 +125,7 @@
     sent = [
         update
         for message in mesh.crossed
-        if isinstance(message, Statements)
+        if isinstance(message, StateUpdates)
         for update in message.updates
     ]
     assert {update.name for update in sent} == {changed.name}
@@ -149,7 +149,7 @@
 
 def test_entries_that_each_domain_reads_from_the_store_do_not_cross(mesh):
     for state in mesh.states.values():
-        if state.core.own.record.relay_of:
+        if state.core.own.record.relay_slot:
             state.submit(Entry('/k', 7, b'routes'))
     mesh.run(3)
     assert not mesh.count(Want)
@@ -165,7 +165,7 @@
 
 
 def test_an_entry_offered_in_the_own_domain_is_pulled_at_once(mesh):
-    entry_index = mesh.states[ALL[0].link].core.ledger
+    entry_index = mesh.states[ALL[0].link].core.entry_index
     local = ALL[1].link
     remote = ALL[-1].link
     entry_index.record_offer(
--- a/hillfield/fleet/tests/test_fuzz.py
+++ b/hillfield/fleet/tests/test_fuzz.py
@@ -13,13 +13,13 @@
 )
 
 from hillfield.configuration.entries import Entry
-from hillfield.fleet.state_table import StateTable
 from hillfield.fleet.mesh import TICK, Mesh
 from hillfield.fleet.messages import Version
-from hillfield.fleet.records import Kind
+from hillfield.fleet.records import UpdateKind
 from hillfield.fleet.replication.entry_index import EntryIndex
 from hillfield.fleet.replication.summary import Summary
 from hillfield.fleet.settings import FleetSettings
+from hillfield.fleet.state_table import StateTable
 from hillfield.model import Address, Locality, Target, TargetId
 
 LONG = os.environ.get('HILLFIELD_FUZZ') == 'long'
@@ -154,7 +154,7 @@
     def payloads_are_of_their_revision(self):
         for state in self.mesh.states.values():
             for key in self.accepted:
-                entry = state.core.ledger.entry(key)
+                entry = state.core.entry_index.entry(key)
                 if entry is not None:
                     assert entry.payload == f'{key}{entry.revision}'.encode()
 
@@ -162,7 +162,7 @@
     def state_is_bounded(self):
         for state in self.mesh.states.values():
             core = state.core
-            assert len(core.book) <= LIMIT
+            assert len(core.state_table) <= LIMIT
             assert len(core.links) <= 2 * len(NODES)
             assert not self.mesh.storms, 'storm'
             assert len(core.addresses) <= core.settings.addresses_kept
@@ -184,15 +184,15 @@
         self.mesh.run(16)
         self.state_is_bounded()
         for state in self.mesh.states.values():
-            assert len(state.core.book.alive) == len(NODES) - 1
+            assert len(state.core.state_table.alive) == len(NODES) - 1
             known = known_targets(state)
             assert known == set(NODES[:-1])
 
     def has_converged(self, state):
         core = state.core
-        entries = [core.ledger.entry(key) for key in self.accepted]
+        entries = [core.entry_index.entry(key) for key in self.accepted]
         return (
-            len(core.book.alive) == len(NODES)
+            len(core.state_table.alive) == len(NODES)
             and core.own.ready
             and known_targets(state) == set(NODES)
             and entries == list(self.accepted.values())
@@ -201,12 +201,12 @@
 
 def stamps_of(state):
     stamps = {
-        f'entry {key}': (0, state.core.ledger.entry(key).revision)
+        f'entry {key}': (0, state.core.entry_index.entry(key).revision)
         for key in 'abc'
-        if state.core.ledger.entry(key)
+        if state.core.entry_index.entry(key)
     }
-    for name in state.core.book.records:
-        held = state.core.book.get(Kind.MEMBER, name)
+    for name in state.core.state_table.records:
+        held = state.core.state_table.get(UpdateKind.MEMBER, name)
         stamps[f'member {name}'] = (held.incarnation, held.version)
     return stamps
 
--- a/hillfield/fleet/tests/test_measurement.py
+++ b/hillfield/fleet/tests/test_measurement.py
@@ -1,16 +1,16 @@
-from hillfield.fleet.loading import load_state
 from hillfield.fleet.measurement import measure_costs
 from hillfield.fleet.outages import (
     measure_domain_loss,
     measure_drain,
     measure_merge,
 )
+from hillfield.fleet.synthetic_fleet import load_state
 from hillfield.fleet.traffic import measure_traffic
 
 
 def test_loaded_state_knows_the_whole_fleet():
     state = load_state(40, 3)
-    assert len(state.core.book.alive) == 40
+    assert len(state.core.state_table.alive) == 40
     assert len(state.core.view.targets()) == 39 * 3
 
 
--- a/hillfield/fleet/tests/test_peer_discovery.py
+++ b/hillfield/fleet/tests/test_peer_discovery.py
@@ -14,8 +14,8 @@
     Accepted,
     Conflict,
     Page,
-    StoreError,
     StoredValue,
+    StoreError,
 )
 
 DOMAIN = 'a'
--- a/hillfield/fleet/tests/test_audience.py
+++ b/hillfield/fleet/tests/test_recipients.py
@@ -3,7 +3,7 @@
 from collections import Counter
 
 from hillfield.fleet import NodeRecord
-from hillfield.fleet.audience import choose_audience
+from hillfield.fleet.recipients import choose_recipients
 from hillfield.model import Address, Locality
 
 DOMAINS = 'abc'
@@ -23,9 +23,9 @@
 
 
 def test_one_node_of_each_other_domain_is_a_recipient():
-    audience = choose_audience(NODES[0], NODES)
-    assert {ip[:5] for ip in audience.far} == {'10.1.', '10.2.'}
-    assert len(audience.far) == 2
+    recipients = choose_recipients(NODES[0], NODES)
+    assert {ip[:5] for ip in recipients.remote_relays} == {'10.1.', '10.2.'}
+    assert len(recipients.remote_relays) == 2
 
 
 def test_only_nodes_of_other_domains_are_elsewhere():
@@ -36,15 +36,17 @@
     """
     local = tuple(make_node('a', number) for number in range(200))
     others = (*local, *NODES[10:])
-    audience = choose_audience(local[0], others)
-    subnets = {ip[:5] for ip in audience.elsewhere}
+    recipients = choose_recipients(local[0], others)
+    subnets = {ip[:5] for ip in recipients.remote_nodes}
     assert subnets == {'10.1.', '10.2.'}
-    assert len(audience.elsewhere) == 20
+    assert len(recipients.remote_nodes) == 20
 
 
 def test_the_nodes_of_a_domain_share_remote_reports():
     recipients = Counter(
-        ip for node in NODES for ip in choose_audience(node, NODES).far
+        ip
+        for node in NODES
+        for ip in choose_recipients(node, NODES).remote_relays
     )
     assert len(recipients) > len(NODES) / 2
     assert max(recipients.values()) <= 8
@@ -52,5 +54,5 @@
 
 def test_nodes_of_other_regions_are_no_recipients():
     remote = make_node('a', 1, region='far')
-    audience = choose_audience(NODES[0], (remote,))
-    assert not (audience.far or audience.elsewhere)
+    recipients = choose_recipients(NODES[0], (remote,))
+    assert not (recipients.remote_relays or recipients.remote_nodes)
--- a/hillfield/fleet/tests/test_robustness.py
+++ b/hillfield/fleet/tests/test_robustness.py
@@ -10,12 +10,6 @@
 from hillfield.configuration.entries import Entry
 from hillfield.fleet.effects import Refused, SendTo, Ticked
 from hillfield.fleet.envelope import Body, Codec, Received
-from hillfield.fleet.loading import (
-    START,
-    load_state,
-    settings_of,
-    targets_statement,
-)
 from hillfield.fleet.messages import (
     Entries,
     Goodbye,
@@ -24,18 +18,29 @@
     Heartbeat,
     Hello,
     Referral,
-    Statement,
-    Statements,
+    StateUpdate,
+    StateUpdates,
     Version,
     Versions,
     Want,
 )
-from hillfield.fleet.records import Kind, NodeRecord, RecordCodec, TargetRow
+from hillfield.fleet.records import (
+    NodeRecord,
+    RecordCodec,
+    TargetRow,
+    UpdateKind,
+)
 from hillfield.fleet.state_updates import (
     HELD_BYTES_LIMIT,
     PAYLOAD_LIMIT,
     receive_update,
 )
+from hillfield.fleet.synthetic_fleet import (
+    START,
+    load_state,
+    make_node_settings,
+    make_targets_update,
+)
 from hillfield.model import Address, Locality, TargetState
 
 NODES = 6
@@ -55,7 +60,7 @@
 version = st.builds(Version, word, number, number)
 versions = st.lists(version, max_size=3).map(tuple)
 names = st.lists(word, max_size=3).map(tuple)
-kind = st.sampled_from([*Kind, 'x', ''])
+kind = st.sampled_from([*UpdateKind, 'x', ''])
 
 
 def listed(strategy):
@@ -75,7 +80,7 @@
     address,
     address,
     receives_from=names,
-    relay_of=word,
+    relay_slot=word,
 )
 counts = (number,) * 4
 target_row = st.tuples(word, word, *counts, st.floats(), word)
@@ -85,13 +90,13 @@
     record,
     rows_of_targets,
 ).map(encode)
-update = st.builds(Statement, kind, word, number, number, payload)
+update = st.builds(StateUpdate, kind, word, number, number, payload)
 buckets = st.lists(number, min_size=64, max_size=64).map(tuple)
 message = st.one_of(
     st.builds(Hello, address, place, st.booleans()),
     st.builds(Goodbye, word),
     st.builds(Heartbeat, number, number, st.booleans()),
-    st.builds(Statements, listed(update)),
+    st.builds(StateUpdates, listed(update)),
     st.builds(Entries, listed(st.builds(Entry, word, number, payload))),
     st.builds(Have, versions),
     st.builds(Want, number, names),
@@ -141,21 +146,21 @@
     assert len(core.links) <= core.settings.accepted_links + NODES
     for target in core.view.targets():
         assert min(target.slots, target.weight, target.id.address.port) > 0
-    for observed in core.findings.evidence():
+    for observed in core.evidence_view.evidence():
         assert all(0 <= piece.slowness < inf for piece in observed.evidence)
 
 
 def test_update_with_the_highest_incarnation_is_refused():
     state = load_state(NODES, 1)
-    extreme = Statement(Kind.EVIDENCE, 'node-0000', MOST, MOST, b'')
-    handle_all(state, [Received('node-0001', 1, Statements((extreme,)))])
+    extreme = StateUpdate(UpdateKind.EVIDENCE, 'node-0000', MOST, MOST, b'')
+    handle_all(state, [Received('node-0001', 1, StateUpdates((extreme,)))])
     assert state.core.own.incarnation == 1
     assert state.core.counts['absurd-version'] == 1
 
 
 def test_targets_with_invalid_numbers_are_left_out():
     codec = RecordCodec()
-    home = settings_of(2).locality
+    home = make_node_settings(2).locality
     valid = TargetRow('s', '127.0.0.1', 80, 1, 8, 8, 1, TargetState.READY)
     invalid = [
         replace(valid, slots=0),
@@ -178,23 +183,23 @@
         receive_update(
             core,
             START,
-            Statement(Kind.EVIDENCE, name, 1, 1, heavy),
+            StateUpdate(UpdateKind.EVIDENCE, name, 1, 1, heavy),
             None,
         )
-    assert core.book.held_bytes < HELD_BYTES_LIMIT + PAYLOAD_LIMIT
+    assert core.state_table.held_bytes < HELD_BYTES_LIMIT + PAYLOAD_LIMIT
     assert core.counts['no-room'] > 400
-    newer = targets_statement(core.codec, 2, 2)
+    newer = make_targets_update(core.codec, 2, 2)
     receive_update(core, START, replace(newer, version=2), None)
     assert len(core.view.targets()) == NODES
     core.lost_since = dict.fromkeys(core.lost_since, 0)
     state.handle_event(core.times.ticked, Ticked())
-    assert core.book.held_bytes < PAYLOAD_LIMIT
+    assert core.state_table.held_bytes < PAYLOAD_LIMIT
 
 
 @settings(FUZZ, max_examples=500)
 @given(arbitrary_bytes, positions, st.binary(max_size=4))
 def test_no_bytes_raise(arbitrary, position, spliced):
-    codec = Codec(settings_of(0))
+    codec = Codec(make_node_settings(0))
     whole = codec.seal(Heartbeat(1, 2, ready=True), 1)
     rest = whole[position + len(spliced) :]
     mutated = b''.join((whole[:position], spliced, rest))
--- a/hillfield/fleet/tests/test_state.py
+++ b/hillfield/fleet/tests/test_state.py
@@ -8,12 +8,12 @@
 from hillfield.events import EventCode
 from hillfield.fleet.effects import Dial, SendTo, Ticked
 from hillfield.fleet.mesh import Mesh
-from hillfield.fleet.messages import Statement, Statements
+from hillfield.fleet.messages import StateUpdate, StateUpdates
 from hillfield.fleet.outbox import Outbox
-from hillfield.fleet.readiness import waiting_for
-from hillfield.fleet.store_reads import is_cut_off
+from hillfield.fleet.readiness import describe_missing_readiness
 from hillfield.fleet.settings import FleetSettings
 from hillfield.fleet.state_updates import receive_update
+from hillfield.fleet.store_reads import is_cut_off
 from hillfield.model import Address, Locality, Target, TargetId, TargetState
 
 NODES = tuple(Address('127.0.0.1', port) for port in range(9000, 9008))
@@ -65,7 +65,7 @@
 
 
 def alive(mesh, address):
-    return len(core_of(mesh, address).book.alive)
+    return len(core_of(mesh, address).state_table.alive)
 
 
 def targets(mesh, address):
@@ -132,7 +132,7 @@
     mesh.states[NODES[6]].submit(Entry('/a', 2, b'new'))
     mesh.run(0.5)
     for address in set(NODES) - set(paused):
-        assert core_of(mesh, address).ledger.revision_of('/a') == 2
+        assert core_of(mesh, address).entry_index.revision_of('/a') == 2
 
 
 def test_drained_target_is_known_everywhere_within_two_seconds(mesh):
@@ -153,7 +153,7 @@
     mesh.run(75)
     assert all_alive(mesh)
     for address in NODES:
-        entry_index = core_of(mesh, address).ledger
+        entry_index = core_of(mesh, address).entry_index
         assert entry_index.revision_of('/a') == 2
 
 
@@ -197,7 +197,7 @@
     sender = mesh.states[NODES[5]]
     sender.publish_evidence(mesh.now, (seen,))
     mesh.run(1)
-    view = core_of(mesh, NODES[0]).findings
+    view = core_of(mesh, NODES[0]).evidence_view
     assert [piece.evidence for piece in view.evidence()] == [(seen,)]
     mesh.remove(NODES[5])
     mesh.run(12)
@@ -211,7 +211,7 @@
     own = core_of(mesh, NODES[5]).own
     assert own.incarnation == 2
     assert alive(mesh, NODES[0]) == 8
-    state_table = core_of(mesh, NODES[0]).book
+    state_table = core_of(mesh, NODES[0]).state_table
     assert not state_table.is_newer('mnode-5', 2, 1)
 
 
@@ -229,14 +229,14 @@
 
 def test_peer_is_not_sent_what_it_has_just_sent():
     outbox = Outbox(settings_of(NODES[0]))
-    older = Statement('m', 'n', 1, 1, b'')
-    newer = Statement('m', 'n', 1, 2, b'')
+    older = StateUpdate('m', 'n', 1, 1, b'')
+    newer = StateUpdate('m', 'n', 1, 2, b'')
     outbox.queue_update(NODES[1], older)
     outbox.queue_update(NODES[2], newer)
     outbox.drop_known(NODES[1], newer)
     outbox.drop_known(NODES[2], older)
     sent = outbox.pop_effects(9)
-    assert sent == (SendTo(NODES[2], Statements((newer,))),)
+    assert sent == (SendTo(NODES[2], StateUpdates((newer,))),)
 
 
 def test_other_clusters_messages_are_counted_and_reported_once(mesh):
@@ -260,19 +260,19 @@
         entry = Entry(f'/{number}', 10 + number, bytes(3000))
         mesh.states[NODES[0]].submit(entry)
     mesh.run(5)
-    before = mesh.carried_bytes
+    before = mesh.delivered_bytes
     fresh = mesh.restart(NODES[5])
     mesh.run(5)
-    assert len(fresh.core.ledger.summary) == 51
-    assert mesh.carried_bytes - before < 1.5 * size
+    assert len(fresh.core.entry_index.summary) == 51
+    assert mesh.delivered_bytes - before < 1.5 * size
 
 
 def test_unknown_kind_is_counted_and_not_kept(mesh):
     core = core_of(mesh, NODES[0])
-    held = len(core.book)
-    receive_update(core, mesh.now, Statement('x', 'node-1', 9, 1, b''), None)
+    held = len(core.state_table)
+    receive_update(core, mesh.now, StateUpdate('x', 'node-1', 9, 1, b''), None)
     assert core.counts['unknown-kind'] == 1
-    assert len(core.book) == held
+    assert len(core.state_table) == held
 
 
 def test_node_without_peers_says_what_it_waits_for():
@@ -280,7 +280,9 @@
     state = mesh.add(settings_of(NODES[3]))
     mesh.run(15)
     assert not state.core.own.ready
-    assert 'none of 2 known addresses answers' in waiting_for(state.core)
+    assert 'none of 2 known addresses answers' in describe_missing_readiness(
+        state.core
+    )
     codes = {occurrence.code for occurrence in mesh.occurrences}
     assert codes == {EventCode.WAITING_FOR_PEER}
 
@@ -308,7 +310,7 @@
     of a new one.
     """
     core = mesh.states[NODES[0]].core
-    last = max(link.last_activity for link in core.heard_links())
+    last = max(link.last_activity for link in core.reachable_links())
     assert not is_cut_off(core, last + 0.7)
     assert is_cut_off(core, last + 0.9)
 
--- a/hillfield/fleet/tests/test_store_reads.py
+++ b/hillfield/fleet/tests/test_store_reads.py
@@ -7,18 +7,18 @@
 
 from hillfield.configuration.entries import Entry
 from hillfield.fleet.effects import StoreRead
-from hillfield.fleet.heartbeats import find_age
+from hillfield.fleet.heartbeats import compute_entries_age
 from hillfield.fleet.mesh import Mesh
+from hillfield.fleet.settings import FleetSettings
 from hillfield.fleet.store_reads import (
     LONE_WATCHER_AGE,
-    WATCHER_READ_AGE,
     MAX_AGE,
     READ_STAGGER,
-    defers_read,
+    WATCHER_READ_AGE,
     compute_watcher_age_limit,
+    defers_read,
     is_read_due,
 )
-from hillfield.fleet.settings import FleetSettings
 from hillfield.model import Address, Locality
 
 NODES = 12
@@ -73,7 +73,10 @@
 
 
 def ages_of(mesh):
-    return [find_age(state.core, mesh.now) for state in mesh.states.values()]
+    return [
+        compute_entries_age(state.core, mesh.now)
+        for state in mesh.states.values()
+    ]
 
 
 def test_one_store_read_confirms_the_entries_of_all_nodes_at_once(mesh):
@@ -87,7 +90,7 @@
     mesh.run(5)
     assert min(ages_of(mesh)) > 4
     core = find_state(mesh, 5).core
-    assert core.heard_links()
+    assert core.reachable_links()
     due = [is_read_due(state.core, mesh.now) for state in list_states(mesh)]
     assert any(due)
 
@@ -108,9 +111,9 @@
     assert behind.core.own.confirmed == before
     mesh.cut.clear()
     mesh.run(2)
-    assert behind.core.ledger.revision_of(KEY) == 8
+    assert behind.core.entry_index.revision_of(KEY) == 8
     read_store(mesh, 0)
-    assert find_age(behind.core, mesh.now) < AT_ONCE
+    assert compute_entries_age(behind.core, mesh.now) < AT_ONCE
 
 
 def test_watchers_read_one_after_another_and_none_too_late(mesh):
@@ -140,9 +143,9 @@
     mesh.run(2)
     core = max(
         (state.core for state in list_states(mesh)),
-        key=lambda core: len(core.heard_links()),
+        key=lambda core: len(core.reachable_links()),
     )
-    links = core.heard_links()
+    links = core.reachable_links()
     assert len(links) > 2
     for link in links:
         link.read_failed = True
@@ -159,6 +162,6 @@
     read_store(mesh, 0)
     mesh.run(2)
     core = find_state(mesh, 5).core
-    for link in core.heard_links():
+    for link in core.reachable_links():
         link.last_received = mesh.now - 1
     assert not defers_read(core, mesh.now)
--- a/hillfield/fleet/tests/test_relay.py
+++ b/hillfield/fleet/tests/test_store_relay.py
@@ -6,11 +6,11 @@
 from hillfield.emulator.store_memory import MemoryStore as StandIn
 from hillfield.events import EventCode, ListJournal
 from hillfield.fleet import Fleet, FleetListeners, FleetSettings
-from hillfield.fleet.store_submission import submit_snapshot
 from hillfield.fleet.mesh import MemoryStore
-from hillfield.fleet.relay import Relay
 from hillfield.fleet.slots import find_open_slot
 from hillfield.fleet.state import FleetState
+from hillfield.fleet.store_relay import StoreRelay
+from hillfield.fleet.store_submission import submit_snapshot
 from hillfield.model import Address, Locality
 from hillfield.store.paging import Snapshot
 from hillfield.store.ports import Change, StoredValue
@@ -51,7 +51,7 @@
 async def start(name, store, journal):
     fleet = fleet_of(name, journal)
     assert (await fleet.start()).is_ok()
-    relay = Relay(fleet, store, Random(name), journal)
+    relay = StoreRelay(fleet, store, Random(name), journal)
     return fleet, asyncio.create_task(relay.run())
 
 
@@ -62,7 +62,7 @@
 
 
 def is_whole(core):
-    return core.own.ready and len(core.book.alive) == 2
+    return core.own.ready and len(core.state_table.alive) == 2
 
 
 async def run_two_nodes(store):
@@ -72,7 +72,7 @@
     two, second = await start('two', store, journal)
     await until(lambda: is_whole(one.state.core))
     await until(lambda: is_whole(two.state.core))
-    await until(lambda: two.state.core.ledger.entry(KEY))
+    await until(lambda: two.state.core.entry_index.entry(KEY))
     await stop(one, first)
     await stop(two, second)
     return journal
@@ -105,12 +105,12 @@
     """Hold a slot, then stop; return the slot's value in the store."""
     fleet, task = await start('one', store, ListJournal())
     own = fleet.state.core.own
-    await until(lambda: own.record.relay_of)
+    await until(lambda: own.record.relay_slot)
     held = await store.get(SLOT_KEY)
     async with asyncio.timeout(PATIENCE):
         await stop(fleet, task)
     assert held.ok is not None
-    assert not own.record.relay_of
+    assert not own.record.relay_slot
     return (await store.get(SLOT_KEY)).ok
 
 
@@ -133,7 +133,7 @@
         known=0,
     )
     submit_snapshot(state, prefix, Snapshot(revision, ()), known=5)
-    held = state.core.ledger.entry(KEY)
+    held = state.core.entry_index.entry(KEY)
     assert held is not None
     deleted = held.payload == b''
     assert deleted == (revision == 9)
--- a/hillfield/fleet/traffic.py
+++ b/hillfield/fleet/traffic.py
@@ -11,10 +11,13 @@
 from msgspec.structs import replace
 
 from hillfield.configuration.entries import Entry
-from hillfield.fleet.loading import settings_of, targets_statement
 from hillfield.fleet.mesh import Mesh
 from hillfield.fleet.records import RecordCodec
 from hillfield.fleet.state import FleetState
+from hillfield.fleet.synthetic_fleet import (
+    make_node_settings,
+    make_targets_update,
+)
 from hillfield.model import Address
 
 SETTLE_SECONDS: Final = 60.0
@@ -64,9 +67,9 @@
 def start_mesh(nodes: int) -> Mesh:
     """Return a settled fleet with targets and one configuration entry."""
     mesh = Mesh(Random(SEED))
-    seeds = tuple(settings_of(number).link for number in range(3))
+    seeds = tuple(make_node_settings(number).link for number in range(3))
     for number in range(nodes):
-        settings = replace(settings_of(number), seeds=seeds)
+        settings = replace(make_node_settings(number), seeds=seeds)
         _announce(mesh, settings.link, mesh.add(settings))
     first = mesh.states[seeds[0]]
     first.submit(Entry('/k', 1, bytes(ENTRY_SIZE)))
@@ -77,8 +80,8 @@
 
 def _announce(mesh: Mesh, address: Address, state: FleetState) -> None:
     codec = RecordCodec()
-    number = address.port - settings_of(0).link.port
-    update = targets_statement(codec, number, TARGETS_A_NODE)
+    number = address.port - make_node_settings(0).link.port
+    update = make_targets_update(codec, number, TARGETS_A_NODE)
     home = state.core.settings.locality
     state.publish_targets(
         mesh.now,
@@ -87,6 +90,6 @@
 
 
 def _watch(mesh: Mesh) -> int:
-    before = mesh.carried_bytes
+    before = mesh.delivered_bytes
     mesh.run(OBSERVED_SECONDS)
-    return mesh.carried_bytes - before
+    return mesh.delivered_bytes - before
