--- a/hillfield/fleet/view.py
+++ b/hillfield/fleet/view.py
@@ -2,8 +2,8 @@
 
 from msgspec import Struct
 
+from hillfield.fleet.records import RecordCodec, UpdateKind
 from hillfield.fleet.state_table import StateTable
-from hillfield.fleet.records import Kind, RecordCodec
 from hillfield.model import Target
 
 
@@ -89,7 +89,7 @@
         return changed
 
     def _decode_targets(self, name: str) -> tuple[Target, ...]:
-        update = self._table.get(Kind.TARGETS, name)
+        update = self._table.get(UpdateKind.TARGETS, name)
         record = self._table.records.get(name)
         if update is None or record is None:
             return ()
--- a/hillfield/gate/__init__.py
+++ b/hillfield/gate/__init__.py
@@ -1,18 +1,18 @@
 """The gate: admission of the fleet's requests to the target of this host."""
 
 from hillfield.gate.gate import Gate
-from hillfield.gate.headers import add_room
+from hillfield.gate.headers import add_capacity_header
 from hillfield.gate.hop import HopDialect, HopInstructions
+from hillfield.gate.incarnations import IncarnationTracker
 from hillfield.gate.plans import GatePlans
-from hillfield.gate.seating import Seating
-from hillfield.gate.served import Seat
+from hillfield.gate.served import ServedIncarnation
 
 __all__ = (
     'Gate',
     'GatePlans',
     'HopDialect',
     'HopInstructions',
-    'Seat',
-    'Seating',
-    'add_room',
+    'ServedIncarnation',
+    'IncarnationTracker',
+    'add_capacity_header',
 )
--- a/hillfield/gate/admission.py
+++ b/hillfield/gate/admission.py
@@ -17,7 +17,7 @@
 from hillfield.routing.phases import RequestTrigger
 from hillfield.routing.records import RequestRecord
 from hillfield.routing.refusals import Cause
-from hillfield.routing.requests import Arrival, Verdict, Wait
+from hillfield.routing.requests import Arrival, Decision, Wait
 
 # Seconds after which a refused request may be tried here again.
 RETRY_AFTER_SECONDS: Final = 0.05
@@ -47,7 +47,7 @@
 OUTRANKED: Final = _build_cause('others go first')
 
 
-def admit(state: GateState, now: float, arrival: Arrival) -> Verdict:
+def admit(state: GateState, now: float, arrival: Arrival) -> Decision:
     """Send a request, queue it, or refuse it: then it has not run."""
     record = state.table.open(arrival)
     target = state.target
@@ -61,14 +61,14 @@
     return _enqueue(state, now, record, target)
 
 
-def serve_queue(state: GateState, now: float) -> tuple[Verdict, ...]:
+def serve_queue(state: GateState, now: float) -> tuple[Decision, ...]:
     """Send the waiting requests that have a slot; refuse the expired ones."""
     target = state.target
     if target is None:
         waiting = state.queue.pop_all()
         left = tuple(state.refuse(record, LEFT) for record in waiting)
         return (*state.pop_displaced(), *left)
-    decisions: list[Verdict] = [
+    decisions: list[Decision] = [
         state.refuse(queued.record, _describe_expiry(now, queued))
         for queued in state.queue.pop_expired(now)
     ]
@@ -99,7 +99,7 @@
     now: float,
     record: RequestRecord,
     target: Target,
-) -> Verdict:
+) -> Decision:
     cause = _find_refusal(state, now, record)
     if cause is None:
         return state.send(now, record, target)
@@ -115,7 +115,7 @@
     plan = record.arrival.plan
     if not state.health.admits(now, plan):
         return QUARANTINED
-    if plan.idempotent or plan.urgency >= Urgency.SETTLES:
+    if plan.idempotent or plan.urgency >= Urgency.ALLOW_SUSPECTED:
         return None
     return SUSPECTED if score_running(state, now) > SUSPICION_SCORE else None
 
@@ -125,7 +125,7 @@
     now: float,
     record: RequestRecord,
     target: Target,
-) -> Verdict:
+) -> Decision:
     rank, wait = _compute_rank(state, now, record, target)
     wait_limit = compute_wait_limit(now, record, rank.cost)
     if wait > wait_limit:
--- a/hillfield/gate/calls.py
+++ b/hillfield/gate/calls.py
@@ -10,7 +10,7 @@
     error.
 
     >>> calls = FailedCalls()
-    >>> calls.note(10.0, 'fees')
+    >>> calls.record(10.0, 'fees')
     >>> calls.explains_failure(9.5, 'refunds'), calls.explains_failure(10.5, 'refunds')
     (True, False)
     >>> calls.explains_failure(9.5, 'fees')
@@ -21,7 +21,7 @@
         """Start without failures."""
         self._last_failures: dict[str, float] = {}
 
-    def note(self, now: float, service: str) -> None:
+    def record(self, now: float, service: str) -> None:
         """Record that a request to a service has failed."""
         self._last_failures[service] = now
 
--- a/hillfield/gate/completion.py
+++ b/hillfield/gate/completion.py
@@ -11,16 +11,16 @@
     compute_survival,
     record_unanswered,
 )
+from hillfield.routing.classification import classify_observation
 from hillfield.routing.phases import (
     AttemptAction,
     AttemptPhase,
     AttemptTrigger,
     RequestTrigger,
 )
-from hillfield.routing.readings import read_observation
 from hillfield.routing.records import AttemptRecord
-from hillfield.routing.refusals import describe_reading
-from hillfield.routing.requests import Done, Observation, TimedOut, Verdict
+from hillfield.routing.refusals import describe_failed_attempt
+from hillfield.routing.requests import Decision, Done, Observation, TimedOut
 
 # Triggers after which the request may turn out to be a cause of the target's
 # exit. A caller that leaves closes the connection, but the request may go on
@@ -33,7 +33,9 @@
         AttemptTrigger.TIMED_OUT,
     ),
 )
-UNCERTAIN: Final = frozenset((AttemptAction.DOUBT, AttemptAction.ABANDON))
+UNCERTAIN: Final = frozenset(
+    (AttemptAction.MAY_HAVE_RUN, AttemptAction.ABANDON)
+)
 
 
 def finish(
@@ -41,10 +43,10 @@
     now: float,
     attempt: AttemptRecord,
     observation: Observation,
-) -> Verdict:
+) -> Decision:
     """End an attempt and decide what the other node is told."""
     record = attempt.record
-    classified = read_observation(observation)
+    classified = classify_observation(observation)
     written = attempt.phase is not AttemptPhase.CONNECTING
     if written and classified.trigger in WITHOUT_ANSWER:
         state.lost_runs.add(build_run(now, attempt))
@@ -63,9 +65,9 @@
         state.table.end(record, RequestTrigger.LEAVE)
         return Done(record.arrival.request)
     if action in UNCERTAIN:
-        record.follow(RequestTrigger.DOUBT)
+        record.follow(RequestTrigger.MAY_HAVE_RUN)
     record.peer = str(attempt.target.id.address)
-    return state.refuse(record, describe_reading(classified))
+    return state.refuse(record, describe_failed_attempt(classified))
 
 
 def build_run(now: float, attempt: AttemptRecord) -> Run:
--- a/hillfield/gate/gate.py
+++ b/hillfield/gate/gate.py
@@ -21,10 +21,10 @@
 from hillfield.routing.requests import (
     Arrival,
     Broken,
+    Decision,
     Done,
     Observation,
     Send,
-    Verdict,
 )
 
 GateListener = Callable[[float], None]
@@ -44,7 +44,7 @@
         self.listener: GateListener = _ignore
 
     @property
-    def calls(self) -> FailedCalls:
+    def failed_calls(self) -> FailedCalls:
         """Return the record of failed requests that began on this host."""
         return self._state.failed_calls
 
@@ -52,7 +52,7 @@
         """Return this gate: it serves only one target."""
         return self
 
-    def admit(self, now: float, arrival: Arrival) -> Verdict:
+    def admit(self, now: float, arrival: Arrival) -> Decision:
         """Send a request, queue it, or refuse it: then it has not run."""
         decision = admit(self._state, now, arrival)
         self.listener(now)
@@ -63,7 +63,7 @@
         now: float,
         attempt: int,
         observation: Observation,
-    ) -> Verdict:
+    ) -> Decision:
         """End an attempt and decide what the other node is told."""
         attempt_record = self._state.table.find(attempt)
         if attempt_record is None:
@@ -76,24 +76,24 @@
             self.on_served(attempt_record.record.arrival.fingerprint)
         return decision
 
-    def find_hedge_delay(self, plan: RequestPlan) -> None:
+    def compute_hedge_delay(self, plan: RequestPlan) -> None:
         """Return None: there is no other target to hedge with."""
 
     def hedge(self, now: float, request: str) -> Send | None:
         """Return None: there is no other target to hedge with."""
 
-    def leave(self, now: float, request: str) -> None:
+    def cancel(self, now: float, request: str) -> None:
         """Drop a waiting request whose caller has left."""
         record = self._state.table.requests.get(request)
         if record is not None:
             self._state.queue.remove(record)
             self._state.table.end(record, RequestTrigger.LEAVE)
 
-    def excuse(self, now: float, seconds: float) -> None:
+    def discount_pause(self, now: float, seconds: float) -> None:
         """Discount a pause of this process from the ages of the attempts."""
-        self._state.table.excuse(now, seconds)
+        self._state.table.discount_pause(now, seconds)
 
-    def poll(self, now: float) -> tuple[Verdict, ...]:
+    def poll(self, now: float) -> tuple[Decision, ...]:
         """Return decisions on waiting requests; call after finish, in ticks."""
         check_running(self._state, now)
         record_limit_counts(self._state, now)
--- a/hillfield/gate/headers.py
+++ b/hillfield/gate/headers.py
@@ -10,9 +10,11 @@
 from hillfield.proxy import ProxySettings
 
 
-def add_room(settings: ProxySettings, gate: Gate) -> ProxySettings:
+def add_capacity_header(settings: ProxySettings, gate: Gate) -> ProxySettings:
     """Return settings of a request path that reports the gate's capacity."""
-    callers = replace(settings.callers, tell_room=partial(_write_header, gate))
+    callers = replace(
+        settings.callers, report_capacity=partial(_write_header, gate)
+    )
     return replace(settings, callers=callers)
 
 
--- a/hillfield/gate/health.py
+++ b/hillfield/gate/health.py
@@ -150,7 +150,7 @@
         """Return whether a request may be sent to the target now."""
         if not self.quarantined:
             return True
-        urgent = plan.urgency >= Urgency.INSISTS
+        urgent = plan.urgency >= Urgency.ALLOW_QUARANTINED
         if urgent and self.reachable and self._is_likely_to_succeed(plan):
             return True
         if self.running_trials > self.successes:
@@ -180,7 +180,7 @@
 
     def _is_likely_to_succeed(self, plan: RequestPlan) -> bool:
         """Return whether a request is likely enough to succeed."""
-        most_urgent = plan.urgency is Urgency.PRESSES
+        most_urgent = plan.urgency is Urgency.ALLOW_ANY
         minimum = POOR_SUCCESS_SHARE if most_urgent else FAIR_SUCCESS_SHARE
         return plan.idempotent or self.success_share >= minimum
 
--- a/hillfield/gate/hop.py
+++ b/hillfield/gate/hop.py
@@ -9,9 +9,9 @@
 from tornado.httputil import HTTPHeaders
 
 from hillfield.events import EventCode
-from hillfield.loadreports import ROOM, LoadReport, read_capacity
+from hillfield.loadreports import CAPACITY_HEADER, LoadReport, read_capacity
 from hillfield.model import (
-    LifeNotice,
+    IncarnationNotice,
     Outcome,
     RequestPlan,
     Step,
@@ -23,9 +23,9 @@
     DEADLINE,
     NOT_RUN,
     OUTCOME,
+    format_milliseconds,
     names_request,
     read_retry_after,
-    show_milliseconds,
 )
 from hillfield.proxy.fields import Fields
 from hillfield.proxy.heads import HOP
@@ -68,12 +68,12 @@
     origin: str
     idempotent: bool = False
     trial: bool = False
-    urgency: Urgency = Urgency.CHOOSY
+    urgency: Urgency = Urgency.HEALTHY_ONLY
     route: str = ''
     aim: float = 0
     spent: float = 0
     account: str = ''
-    notice: LifeNotice | None = None
+    notice: IncarnationNotice | None = None
 
 
 _DECODER: Final = Decoder(HopInstructions)
@@ -115,7 +115,7 @@
         remaining: float,
     ) -> None:
         """Add the remaining time and the instructions for the gate."""
-        fields.add(DEADLINE, show_milliseconds(remaining))
+        fields.add(DEADLINE, format_milliseconds(remaining))
         order = HopInstructions(
             send.target.service,
             send.target.incarnation,
@@ -128,7 +128,7 @@
             plan.aim,
             send.spent,
             plan.account,
-            send.told,
+            send.notice,
         )
         fields.add(HOP, write_hop(order))
 
@@ -154,13 +154,13 @@
             )
         return Shed(read_retry_after(headers))
 
-    def read_room(
+    def read_capacity(
         self,
         target: TargetId,
         headers: HTTPHeaders,
     ) -> LoadReport | None:
         """Read the free capacity of the target that its gate reports."""
-        field_text = headers.get(ROOM)
+        field_text = headers.get(CAPACITY_HEADER)
         return None if field_text is None else read_capacity(target, field_text)
 
     def read_notice(
@@ -174,11 +174,11 @@
         """Return whether an answer belongs to the request of this id."""
         return names_request(request, headers)
 
-    def note_headers(self, headers: HTTPHeaders) -> None:
+    def inspect_headers(self, headers: HTTPHeaders) -> None:
         """Ignore the headers: the gate has read them."""
 
     @property
-    def sends_signs(self) -> bool:
+    def sends_keepalives(self) -> bool:
         """Return True: gates send interim answers of their own."""
         return True
 
--- a/hillfield/gate/seating.py
+++ b/hillfield/gate/incarnations.py
@@ -14,7 +14,7 @@
 )
 from hillfield.announcements.messages import Refusal
 from hillfield.gate.gate import Gate
-from hillfield.gate.served import Seat
+from hillfield.gate.served import ServedIncarnation
 from hillfield.model import Target, TargetId, TargetState
 
 NAMES_KEPT: Final = 64
@@ -42,7 +42,7 @@
         return born > self.born
 
 
-class Seating:
+class IncarnationTracker:
     """Track the incarnations of a target, each named in its heartbeats.
 
     The number of an incarnation is the wall clock at its first heartbeat,
@@ -59,7 +59,7 @@
         self._incarnations: OrderedDict[str, _Incarnation] = OrderedDict()
         self._withdrawn: OrderedDict[str, int] = OrderedDict()
         self._latest = 0
-        gate.on_leaving = self.note_leaving
+        gate.on_leaving = self.record_leaving
 
     def announce(
         self,
@@ -92,12 +92,12 @@
             self._stop_serving(name)
         announced = self._registry.announce(now, wall, named.announcement)
         if announced.is_ok():
-            self.gate.take_seat(Seat(announced.ok, name, named.born))
+            self.gate.serve(ServedIncarnation(announced.ok, name, named.born))
         return announced
 
-    def note_leaving(self, now: float, target: TargetId) -> None:
+    def record_leaving(self, now: float, target: TargetId) -> None:
         """Treat a notice of the served incarnation as a draining heartbeat."""
-        serving = self.gate.seat
+        serving = self.gate.serving
         if serving is None or serving.target.id != target:
             return
         self._stop_serving(serving.name)
@@ -138,14 +138,14 @@
             named.incarnation,
         )
 
-    def follow_expiry(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Stop serving a target whose heartbeats have expired."""
-        serving = self.gate.seat
+        serving = self.gate.serving
         if serving is None:
             return
         listed = {target.id for target in self._registry.targets(now)}
         if serving.target.id not in listed:
-            self.gate.take_seat(None)
+            self.gate.serve(None)
 
     def _is_acceptable(self, name: str, announcement: Announcement) -> bool:
         left = self._withdrawn.get(name)
@@ -155,7 +155,7 @@
         return born is not None and born > left
 
     def _stop_serving(self, name: str) -> None:
-        serving = self.gate.seat
+        serving = self.gate.serving
         if serving is not None and serving.name == name:
             self.gate.stop_serving()
 
--- a/hillfield/gate/limit.py
+++ b/hillfield/gate/limit.py
@@ -81,7 +81,7 @@
             return
         self._refill(now)
         self.sent += 1
-        self._bucket.take()
+        self._bucket.consume()
 
     def count_tokens(self, now: float) -> int | None:
         """Return how many requests may be sent at once; None: no limit."""
@@ -125,7 +125,7 @@
             self._bucket.tokens = initial_tokens
         self._refill(now)
         self.rate = rate
-        self._bucket.bound(max(1, BURST_SECONDS * self._compute_rate()))
+        self._bucket.resize(max(1, BURST_SECONDS * self._compute_rate()))
         return True
 
     def _refill(self, now: float) -> None:
--- a/hillfield/gate/notes.py
+++ b/hillfield/gate/notes.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import Final
 
-from hillfield.crashes import Run, TargetEnd
+from hillfield.crashes import Run, TargetExit
 from hillfield.events import EventCode, Occurrence
 from hillfield.gate.notices import apply_notice
 from hillfield.gate.reporting import build_report
@@ -38,22 +38,22 @@
         self.on_leaving: LeavingListener = _ignore_leaving
         self.on_answer: AnswerListener = _ignore_report
 
-    def note_written(self, now: float, attempt: int) -> None:
+    def record_written(self, now: float, attempt: int) -> None:
         """Record that the attempt's first byte is about to be written."""
         attempt_record = self._state.table.find(attempt)
         if attempt_record is not None:
             attempt_record.follow(AttemptTrigger.WRITE)
 
-    def note_head(self, now: float, attempt: int) -> None:
+    def record_head(self, now: float, attempt: int) -> None:
         """Record that the head of the attempt's answer has been received."""
         attempt_record = self._state.table.find(attempt)
         if attempt_record is not None:
             attempt_record.follow(AttemptTrigger.HEAD)
 
-    def note_silent(self, now: float, attempt: int) -> None:
+    def record_silence(self, now: float, attempt: int) -> None:
         """Ignore it: targets send no keepalives."""
 
-    def note_notice(
+    def record_notice(
         self,
         now: float,
         attempt: int,
@@ -84,12 +84,12 @@
             self.on_answer(now, report)
         return report
 
-    def note_ended(
+    def record_exit(
         self,
         now: float,
         wall: int,
         target: TargetId,
-    ) -> TargetEnd | None:
+    ) -> TargetExit | None:
         """Record that the target's process has exited; return the exit.
 
         `wall` is the wall clock in milliseconds. None: no request was lost.
--- a/hillfield/gate/notices.py
+++ b/hillfield/gate/notices.py
@@ -2,9 +2,9 @@
 
 from hillfield.events import EventCode
 from hillfield.gate.limit import format_rate
-from hillfield.gate.served import Seat
+from hillfield.gate.served import ServedIncarnation
 from hillfield.gate.state import GateState
-from hillfield.model import LifeNotice, TargetNotice
+from hillfield.model import IncarnationNotice, TargetNotice
 from hillfield.routing.records import AttemptRecord
 
 
@@ -21,14 +21,14 @@
     serving = state.serving
     if serving is None or serving.target.id != attempt.target.id:
         return False
-    if notice.unread:
+    if notice.unreadable:
         state.record_event(
             EventCode.TARGET_NOTICE_UNREAD,
             serving,
-            notice.unread,
+            notice.unreadable,
         )
     before = state.limit.rate
-    readable = not notice.vague
+    readable = not notice.limit_unreadable
     if readable and state.limit.apply_notice(now, attempt.started, notice.rate):
         _record_limit(state, serving, before)
     if notice.leaving:
@@ -43,11 +43,11 @@
 def apply_forwarded_notice(
     state: GateState,
     now: float,
-    notice: LifeNotice,
+    notice: IncarnationNotice,
 ) -> bool:
     """Apply a notice that another node received; return whether it leaves."""
     serving = state.serving
-    if serving is None or serving.identifier != notice.life:
+    if serving is None or serving.identifier != notice.incarnation:
         return False
     if notice.leaving:
         detail = 'another node was told'
@@ -64,7 +64,7 @@
 
 def _record_limit(
     state: GateState,
-    serving: Seat,
+    serving: ServedIncarnation,
     before: float | None,
 ) -> None:
     before_text = '' if before is None else f'before: {format_rate(before)}'
--- a/hillfield/gate/occupancy.py
+++ b/hillfield/gate/occupancy.py
@@ -5,8 +5,8 @@
 from hillfield.gate.limit import RateLimit
 from hillfield.gate.notes import GateNotes
 from hillfield.gate.notices import apply_forwarded_notice
-from hillfield.gate.served import Seat
-from hillfield.model import LifeNotice, TargetState
+from hillfield.gate.served import ServedIncarnation
+from hillfield.model import IncarnationNotice, TargetState
 from hillfield.routing.loads import Latency
 
 
@@ -14,11 +14,11 @@
     """Serve incarnations of the target, each with fresh health and limit."""
 
     @property
-    def seat(self) -> Seat | None:
+    def serving(self) -> ServedIncarnation | None:
         """Return the served incarnation."""
         return self._state.serving
 
-    def take_seat(self, serving: Seat | None) -> None:
+    def serve(self, serving: ServedIncarnation | None) -> None:
         """Serve an incarnation of the target; None: it has left or leaves."""
         state = self._state
         if serving is not None and serving.target.state is TargetState.DRAINING:
@@ -47,7 +47,9 @@
                 f'known as {serving.name}',
             )
 
-    def adopt_told(self, now: float, notice: LifeNotice) -> None:
+    def apply_forwarded_notice(
+        self, now: float, notice: IncarnationNotice
+    ) -> None:
         """Apply the notice that the sender of a request has received."""
         serving = self._state.serving
         if serving is not None and apply_forwarded_notice(
@@ -62,4 +64,4 @@
         serving = self._state.serving
         if serving is not None:
             self._state.departing = serving
-            self.take_seat(None)
+            self.serve(None)
--- a/hillfield/gate/plans.py
+++ b/hillfield/gate/plans.py
@@ -45,8 +45,8 @@
             return Error(_refuse(MALFORMED, f'Hillfield-Hop: {read.error}'))
         instructions = read.ok
         if instructions.notice is not None:
-            self.gate.adopt_told(monotonic(), instructions.notice)
-        serving = self.gate.seat
+            self.gate.apply_forwarded_notice(monotonic(), instructions.notice)
+        serving = self.gate.serving
         if serving is None or self.gate.closing:
             return Error(_refuse(UNAVAILABLE, 'no target is served here'))
         target_id = serving.target.id
--- a/hillfield/gate/reporting.py
+++ b/hillfield/gate/reporting.py
@@ -9,7 +9,7 @@
 )
 from hillfield.gate.state import GateState
 from hillfield.gate.suspicion import SUSPICION_SCORE, score_running
-from hillfield.loadreports.reports import Held, LoadReport
+from hillfield.loadreports.reports import LoadReport, WithheldWork
 
 # Decimal digits of reported seconds: a millisecond changes no decision.
 WAIT_DIGITS: Final = 3
@@ -53,14 +53,14 @@
         leaving.incarnation,
         number,
         0,
-        held=Held.ALL,
+        held=WithheldWork.ALL,
         notice=state.build_notice(),
     )
 
 
-def _find_withheld(state: GateState, now: float) -> Held:
+def _find_withheld(state: GateState, now: float) -> WithheldWork:
     if state.health.quarantined:
         trial_due = state.health.is_trial_due(now)
-        return Held.USUAL if trial_due else Held.ALL
+        return WithheldWork.USUAL if trial_due else WithheldWork.ALL
     suspected = score_running(state, now) > SUSPICION_SCORE
-    return Held.ONCE if suspected else Held.NOTHING
+    return WithheldWork.ONCE if suspected else WithheldWork.NOTHING
--- a/hillfield/gate/served.py
+++ b/hillfield/gate/served.py
@@ -5,7 +5,7 @@
 from hillfield.model import Target
 
 
-class Seat(Struct, frozen=True):
+class ServedIncarnation(Struct, frozen=True):
     """Hold the served incarnation of the host's target.
 
     `name` is the name that this incarnation announces, `born` the start time
--- a/hillfield/gate/state.py
+++ b/hillfield/gate/state.py
@@ -10,12 +10,12 @@
 from hillfield.gate.health import AttemptResult, HealthScore
 from hillfield.gate.limit import RateLimit
 from hillfield.gate.queue import GateQueue
-from hillfield.gate.served import Seat
+from hillfield.gate.served import ServedIncarnation
 from hillfield.gate.usage import AccountUsage, is_service_call
-from hillfield.model import LifeNotice, Target, TargetState
-from hillfield.routing.durations import Durations
+from hillfield.model import IncarnationNotice, Target, TargetState
+from hillfield.routing.durations import RouteDurations
 from hillfield.routing.loads import Latency
-from hillfield.routing.records import AttemptRecord, Ledger, RequestRecord
+from hillfield.routing.records import AttemptRecord, RequestRecord, RequestTable
 from hillfield.routing.refusals import Cause, end_refused
 from hillfield.routing.requests import Refuse, Send
 
@@ -34,15 +34,15 @@
     """
 
     journal: Journal
-    serving: Seat | None = None
-    departing: Seat | None = None
+    serving: ServedIncarnation | None = None
+    departing: ServedIncarnation | None = None
     health: HealthScore = field(default_factory=HealthScore)
     limit: RateLimit = field(default_factory=RateLimit)
-    table: Ledger = field(default_factory=Ledger)
+    table: RequestTable = field(default_factory=RequestTable)
     queue: GateQueue = field(default_factory=GateQueue)
     latency: Latency = field(default_factory=Latency)
     failed_calls: FailedCalls = field(default_factory=FailedCalls)
-    durations: Durations = field(default_factory=Durations)
+    durations: RouteDurations = field(default_factory=RouteDurations)
     lost_runs: LostRuns = field(default_factory=LostRuns)
     age_reliability: AgeReliability = field(default_factory=AgeReliability)
     usage: AccountUsage = field(default_factory=AccountUsage)
@@ -67,18 +67,20 @@
             for attempt in self.table.attempts.values()
         )
 
-    def build_notice(self) -> LifeNotice | None:
+    def build_notice(self) -> IncarnationNotice | None:
         """Return what the target said about itself, for other nodes."""
         if self.serving is not None:
             rate = self.limit.rate
             return (
                 None
                 if rate is None
-                else LifeNotice(self.serving.identifier, rate)
+                else IncarnationNotice(self.serving.identifier, rate)
             )
         left = self.departing
         return (
-            None if left is None else LifeNotice(left.identifier, leaving=True)
+            None
+            if left is None
+            else IncarnationNotice(left.identifier, leaving=True)
         )
 
     def record_result(
@@ -100,18 +102,18 @@
         serving = self.serving
         if serving is None or serving.target.id != attempt.target.id:
             return
-        if self.health.retract(now, attempt.weight):
+        if self.health.retract(now, attempt.age_weight):
             self._record_quarantine(serving, 'slow requests were answered')
 
     def record_answered(self, now: float, attempt: AttemptRecord) -> None:
         """Record the duration of an answered attempt."""
-        self.latency.note(now, now - attempt.started)
+        self.latency.record(now, now - attempt.started)
         duration = self.durations.find(attempt.record.arrival.plan)
-        duration.note(self.compute_warm_age(now, attempt))
+        duration.record(self.compute_warm_age(now, attempt))
 
     def compute_warm_age(self, now: float, attempt: AttemptRecord) -> float:
         """Return the age of an attempt, in seconds at a warmed-up target."""
-        seconds = attempt.find_age(now)
+        seconds = attempt.compute_age(now)
         target = self.target
         if target is not None and target.state is TargetState.COLD:
             return seconds / COLD_FACTOR
@@ -138,7 +140,9 @@
         self.displaced.clear()
         return declined
 
-    def record_event(self, code: EventCode, serving: Seat, detail: str) -> None:
+    def record_event(
+        self, code: EventCode, serving: ServedIncarnation, detail: str
+    ) -> None:
         """Record an event of the target."""
         target = serving.target.id
         self.journal.record(
@@ -150,7 +154,9 @@
             ),
         )
 
-    def _record_quarantine(self, serving: Seat, reason: str) -> None:
+    def _record_quarantine(
+        self, serving: ServedIncarnation, reason: str
+    ) -> None:
         code = EventCode.GATE_REOPENED
         if self.health.quarantined:
             code = EventCode.GATE_SHUNNED
--- a/hillfield/gate/suspicion.py
+++ b/hillfield/gate/suspicion.py
@@ -60,7 +60,7 @@
 ) -> float:
     """Return the share of the route's requests that take at least as long."""
     duration = state.durations.find(attempt.record.arrival.plan)
-    return duration.survive(state.compute_warm_age(now, attempt))
+    return duration.share_above(state.compute_warm_age(now, attempt))
 
 
 def check_running(state: GateState, now: float) -> None:
@@ -77,8 +77,10 @@
     if attempt.hung:
         return
     attempt.hung = True
-    attempt.weight = score_age(state, now, attempt)
-    state.record_result(now, attempt.target, AttemptResult.HUNG, attempt.weight)
+    attempt.age_weight = score_age(state, now, attempt)
+    state.record_result(
+        now, attempt.target, AttemptResult.HUNG, attempt.age_weight
+    )
 
 
 def record_unanswered(
--- a/hillfield/gate/tests/test_admission.py
+++ b/hillfield/gate/tests/test_admission.py
@@ -15,7 +15,7 @@
 from pytest import approx, mark
 
 from hillfield.events import ListJournal
-from hillfield.gate import Gate, Seat
+from hillfield.gate import Gate, ServedIncarnation
 from hillfield.model import (
     Address,
     Locality,
@@ -59,7 +59,7 @@
 
     def __init__(self, slots=SLOTS):
         self.gate = Gate(ListJournal())
-        self.gate.take_seat(Seat(replace(TARGET, slots=slots), 'i-1'))
+        self.gate.serve(ServedIncarnation(replace(TARGET, slots=slots), 'i-1'))
         self.slots = slots
         self.plans = {}
         self.started_at = {}
@@ -102,7 +102,7 @@
             return
         self.decision_counts[name] += 1
         if isinstance(decision, Send):
-            self.gate.note_written(now, decision.attempt)
+            self.gate.record_written(now, decision.attempt)
             self.started_at[name] = now
             seconds = LENGTHS.get(self.plans[name].route, WORK)
             heappush(self.running, (now + seconds, decision.attempt, name))
@@ -266,7 +266,7 @@
     fill(simulation, make_plan(priority=1), 30)
     waiting = count_waiting(simulation.gate, 30)
     simulation.gate.admit(30, Arrival('urgent', make_plan(), 34, True))
-    simulation.gate.take_seat(None)
+    simulation.gate.serve(None)
     assert len(simulation.gate.poll(30)) == waiting + 1
 
 
--- a/hillfield/gate/tests/test_ages.py
+++ b/hillfield/gate/tests/test_ages.py
@@ -13,8 +13,8 @@
 from pytest import fixture
 
 from hillfield.events import EventCode, ListJournal
-from hillfield.gate import Gate, Seat
-from hillfield.loadreports import Held
+from hillfield.gate import Gate, ServedIncarnation
+from hillfield.loadreports import WithheldWork
 from hillfield.model import Address, Locality, RequestPlan, Target, TargetId
 from hillfield.routing.requests import Answered, Arrival, Send, TimedOut
 
@@ -37,7 +37,7 @@
 
 def is_quarantined(gate, now):
     report = gate.report(now)
-    return report is not None and report.held >= Held.USUAL
+    return report is not None and report.held >= WithheldWork.USUAL
 
 
 class BusyTarget:
@@ -47,7 +47,7 @@
         self.random = Random(seed)
         self.journal = ListJournal()
         self.gate = Gate(self.journal)
-        self.gate.take_seat(Seat(TARGET, 'i-1'))
+        self.gate.serve(ServedIncarnation(TARGET, 'i-1'))
         self.running = []
         self.quarantined_steps = 0
 
@@ -72,7 +72,7 @@
         arrival = Arrival(f'r{now}', ONCE, now + ONCE.deadline, True)
         decision = self.gate.admit(now, arrival)
         if isinstance(decision, Send):
-            self.gate.note_written(now, decision.attempt)
+            self.gate.record_written(now, decision.attempt)
             seconds = self.random.lognormvariate(0, 0.4) * USUAL * slowdown
             answer = Answered(200)
             self.running.append((now + seconds, decision.attempt, answer))
@@ -86,14 +86,14 @@
 @fixture
 def gate(journal):
     opened = Gate(journal)
-    opened.take_seat(Seat(TARGET, 'i-1'))
+    opened.serve(ServedIncarnation(TARGET, 'i-1'))
     return opened
 
 
 def admit(gate, name, now):
     arrival = Arrival(name, ONCE, now + ONCE.deadline, True)
     sent = gate.admit(now, arrival)
-    gate.note_written(now, sent.attempt)
+    gate.record_written(now, sent.attempt)
     return sent.attempt
 
 
--- a/hillfield/gate/tests/test_fuzz.py
+++ b/hillfield/gate/tests/test_fuzz.py
@@ -24,9 +24,9 @@
 from msgspec.structs import replace
 from pytest import mark, raises
 
-from hillfield.detection.paths import PathBoard
+from hillfield.detection.pathdetector import PathDetector
 from hillfield.events import ListJournal
-from hillfield.gate import Gate, Seat, state
+from hillfield.gate import Gate, ServedIncarnation, state
 from hillfield.model import (
     Address,
     Locality,
@@ -36,7 +36,7 @@
     Target,
     TargetId,
 )
-from hillfield.routing import Dispatcher, repeats
+from hillfield.routing import Dispatcher, retries
 from hillfield.routing.declining import Declined
 from hillfield.routing.refusals import end_refused
 from hillfield.routing.requests import (
@@ -111,7 +111,7 @@
         self.caller = Dispatcher(
             POLICY,
             here,
-            PathBoard(POLICY, here),
+            PathDetector(POLICY, here),
             Random(1),
         )
         self.plans: dict[str, RequestPlan] = {}
@@ -125,7 +125,7 @@
 
     def serve(self, place):
         target = make_target(place, self.incarnations[place])
-        self.gates[place].take_seat(Seat(target, str(target.id)))
+        self.gates[place].serve(ServedIncarnation(target, str(target.id)))
 
     @rule()
     def learn_targets(self):
@@ -197,9 +197,9 @@
 
     def reach(self, hop):
         """Let one request arrive at the gate of its target."""
-        self.caller.note_written(self.now, hop.send.attempt)
+        self.caller.record_written(self.now, hop.send.attempt)
         hop.gate = self.gates[hop.send.address.port - FIRST_PORT]
-        serving = hop.gate.seat
+        serving = hop.gate.serving
         if serving is None or serving.target.id != hop.send.target:
             self.end(hop, Declined('route', lasting=True))
             return
@@ -221,7 +221,7 @@
         if isinstance(decision, Send):
             assert decision.target not in self.left, 'work for one that left'
             hop.work = decision
-            hop.gate.note_written(self.now, decision.attempt)
+            hop.gate.record_written(self.now, decision.attempt)
         elif isinstance(decision, Refuse) and not hop.over:
             self.end(hop, observe_refusal(hop, decision))
 
@@ -253,7 +253,7 @@
         if hop is None:
             return
         if seen and hop.work is None:
-            hop.gate.leave(self.now, hop.key)
+            hop.gate.cancel(self.now, hop.key)
         elif seen:
             # Whether a cut request runs at its target is unknown.
             self.runs[hop.send.request] += 1
@@ -264,7 +264,7 @@
     @rule(place=places)
     def leave(self, place):
         """Let a target leave; its gate has acknowledged it."""
-        self.gates[place].take_seat(None)
+        self.gates[place].serve(None)
         self.left.add(make_target(place, self.incarnations[place]).id)
 
     @rule(place=places)
@@ -327,9 +327,9 @@
 class NeverLeavingGate(Gate):
     """Keep sending to a target that leaves: a deliberate fault."""
 
-    def take_seat(self, serving):
+    def serve(self, serving):
         if serving is not None:
-            super().take_seat(serving)
+            super().serve(serving)
 
 
 def run_faulty(kind=Gate):
@@ -363,7 +363,7 @@
 
 @mark.seeded
 def test_fuzz_finds_a_retry_after_unknown(monkeypatch):
-    monkeypatch.setattr(repeats, '_may_repeat', lambda record: True)
+    monkeypatch.setattr(retries, '_may_repeat', lambda record: True)
     with raises(AssertionError):
         run_faulty()
 
--- a/hillfield/gate/tests/test_gate.py
+++ b/hillfield/gate/tests/test_gate.py
@@ -5,7 +5,7 @@
 from tornado.httputil import HTTPHeaders
 
 from hillfield.events import EventCode, ListJournal
-from hillfield.gate import Gate, GatePlans, HopDialect, Seat
+from hillfield.gate import Gate, GatePlans, HopDialect, ServedIncarnation
 from hillfield.gate.admission import FULL, QUARANTINED
 from hillfield.gate.health import ANY_TRIAL_DELAY
 from hillfield.gate.hop import HopInstructions, write_hop
@@ -38,13 +38,13 @@
 
 IDENTITY = TargetId('refunds', Address('127.0.0.1', 8000), 7)
 TARGET = Target(IDENTITY, Locality('north', 'a', 'h1'), 2, 300)
-SERVED = Seat(TARGET, 'i-1')
+SERVED = ServedIncarnation(TARGET, 'i-1')
 
 
 @fixture
 def gate():
     opened = Gate(ListJournal())
-    opened.take_seat(SERVED)
+    opened.serve(SERVED)
     return opened
 
 
@@ -66,7 +66,7 @@
 def run(gate, name, observation, now=0, trial=False):
     sent = gate.admit(now, arrive(name, now, trial))
     assert isinstance(sent, Send), sent
-    gate.note_written(now, sent.attempt)
+    gate.record_written(now, sent.attempt)
     return gate.finish(now, sent.attempt, observation)
 
 
@@ -81,7 +81,7 @@
     assert all(isinstance(decision, Send) for decision in sent)
     assert isinstance(gate.admit(0, arrive('c')), Wait)
     assert not gate.poll(0.1)
-    gate.note_written(0.1, sent[0].attempt)
+    gate.record_written(0.1, sent[0].attempt)
     gate.finish(0.2, sent[0].attempt, Answered(200))
     assert [served.request for served in gate.poll(0.2)] == ['c']
 
@@ -132,7 +132,7 @@
     for number in range(10):
         now = float(number)
         sent = gate.admit(now, arrive(f'r{number}', now))
-        gate.calls.note(now + 0.1, 'fees')
+        gate.failed_calls.record(now + 0.1, 'fees')
         gate.finish(now + 0.2, sent.attempt, Answered(500))
     assert isinstance(gate.admit(10, arrive('next', 10)), Send)
 
@@ -140,7 +140,7 @@
 def test_errors_are_evidence_where_only_the_own_service_fails(gate):
     for number in range(2):
         sent = gate.admit(number, arrive(f'r{number}', number))
-        gate.calls.note(number + 0.1, 'refunds')
+        gate.failed_calls.record(number + 0.1, 'refunds')
         gate.finish(number + 0.2, sent.attempt, Answered(500))
     assert isinstance(gate.admit(3, arrive('next', 3)), Refuse)
 
@@ -150,9 +150,9 @@
     gate.finish(0.1, first.attempt, Answered(200))
     for name in 'bc':
         sent = gate.admit(1, arrive(name, 1))
-        gate.note_written(1, sent.attempt)
+        gate.record_written(1, sent.attempt)
     gate.poll(1.4)
-    settling = arrive('d', 1.4, urgency=Urgency.SETTLES)
+    settling = arrive('d', 1.4, urgency=Urgency.ALLOW_SUSPECTED)
     assert isinstance(gate.admit(1.4, settling), Wait)
     gate.poll(2)
     assert isinstance(gate.admit(2, arrive('e', 2)), Refuse)
@@ -161,8 +161,8 @@
 def test_the_most_urgent_request_is_sent_to_a_quarantined_target(gate):
     run(gate, 'a', Broken('reset'))
     assert isinstance(gate.admit(0.1, arrive('b', 0.1)), Refuse)
-    allows_quarantined = arrive('c', 0.1, urgency=Urgency.INSISTS)
-    allows_any = arrive('d', 0.1, urgency=Urgency.PRESSES)
+    allows_quarantined = arrive('c', 0.1, urgency=Urgency.ALLOW_QUARANTINED)
+    allows_any = arrive('d', 0.1, urgency=Urgency.ALLOW_ANY)
     assert isinstance(gate.admit(0.1, allows_quarantined), Refuse)
     assert isinstance(gate.admit(0.1, allows_any), Send)
 
@@ -171,13 +171,13 @@
     """Requests were sent to targets that reset 85 in 100 connections."""
     run(gate, 'a', Broken('reset'))
     run(gate, 'b', Answered(200), 0.2, trial=True)
-    allows_quarantined = arrive('c', 0.3, urgency=Urgency.INSISTS)
+    allows_quarantined = arrive('c', 0.3, urgency=Urgency.ALLOW_QUARANTINED)
     assert isinstance(gate.admit(0.3, allows_quarantined), Send)
 
 
 def test_an_urgent_request_is_refused_without_a_connection(gate):
     run(gate, 'a', ConnectFailed('refused'))
-    allows_quarantined = arrive('b', 0.1, urgency=Urgency.INSISTS)
+    allows_quarantined = arrive('b', 0.1, urgency=Urgency.ALLOW_QUARANTINED)
     assert isinstance(gate.admit(0.1, allows_quarantined), Refuse)
 
 
@@ -225,7 +225,7 @@
         decision = gate.admit(now, arrive(f't{step}', now, trial=True))
         if isinstance(decision, Send):
             sent += 1
-            gate.note_written(now, decision.attempt)
+            gate.record_written(now, decision.attempt)
             gate.finish(now, decision.attempt, Broken('reset'))
     return sent
 
@@ -262,8 +262,8 @@
     for lost in (Broken('reset'), TimedOut()):
         decision = run(gate, str(lost), lost)
         assert decision.failure.outcome is Outcome.UNKNOWN
-        gate.take_seat(None)
-        gate.take_seat(SERVED)
+        gate.serve(None)
+        gate.serve(SERVED)
 
 
 def test_a_leaving_target_gets_no_new_work_and_keeps_what_it_has(gate):
@@ -271,7 +271,7 @@
     gate.admit(0, arrive('b'))
     assert isinstance(gate.admit(0, arrive('waits')), Wait)
     draining = replace(TARGET, state=TargetState.DRAINING)
-    gate.take_seat(Seat(draining, 'i-1'))
+    gate.serve(ServedIncarnation(draining, 'i-1'))
     decisions = gate.poll(0.1)
     assert len(decisions) == 1
     assert decisions[0].failure.outcome is Outcome.NOT_RUN
@@ -282,7 +282,7 @@
 def test_a_caller_that_leaves_frees_the_slot(gate):
     sent = [gate.admit(0, arrive(name)) for name in 'ab']
     gate.admit(0, arrive('c'))
-    gate.leave(0.1, 'c')
+    gate.cancel(0.1, 'c')
     gate.finish(0.1, sent[0].attempt, CallerGone())
     assert not gate.poll(0.1)
     assert isinstance(gate.admit(0.1, arrive('d', 0.1)), Send)
@@ -291,16 +291,16 @@
 def test_a_new_incarnation_starts_as_healthy(gate):
     run(gate, 'a', Broken('reset'))
     later = replace(TARGET, id=replace(IDENTITY, incarnation=8))
-    gate.take_seat(Seat(later, 'i-2'))
+    gate.serve(ServedIncarnation(later, 'i-2'))
     assert isinstance(gate.admit(0.1, arrive('c', 0.1)), Send)
 
 
 def test_events_record_serving_and_quarantine():
     journal = ListJournal()
     gate = Gate(journal)
-    gate.take_seat(SERVED)
+    gate.serve(SERVED)
     run(gate, 'a', Broken('reset'))
-    gate.take_seat(None)
+    gate.serve(None)
     codes = [occurrence.code for occurrence in journal.occurrences]
     assert codes == [
         EventCode.GATE_SEATED,
@@ -402,9 +402,11 @@
     gate.finish(0.3, sent.attempt, Answered(200))
     hold_slots(gate, 2)
     assert isinstance(gate.admit(2.1, arrive('a', 2.1, trial=True)), Wait)
-    gate.leave(2.1, 'a')
+    gate.cancel(2.1, 'a')
     gate.poll(30)
-    allows_quarantined = arrive('b', 30, trial=True, urgency=Urgency.INSISTS)
+    allows_quarantined = arrive(
+        'b', 30, trial=True, urgency=Urgency.ALLOW_QUARANTINED
+    )
     assert isinstance(gate.admit(30, allows_quarantined), Refuse)
 
 
@@ -416,7 +418,7 @@
     second = gate.report(0)
     assert (second.free, second.waiting) == (0, 1)
     assert second.number > first.number
-    gate.take_seat(None)
+    gate.serve(None)
     assert gate.report(0) is None
 
 
@@ -459,7 +461,7 @@
     """Three in four such requests were lost at a target that hangs."""
     run(gate, 'a', Broken('reset'))
     run(gate, 'b', Broken('reset'), 0.3, trial=True)
-    allows_any = arrive('c', 0.4, urgency=Urgency.PRESSES)
+    allows_any = arrive('c', 0.4, urgency=Urgency.ALLOW_ANY)
     decision = gate.admit(0.4, allows_any)
     assert isinstance(decision, Refuse)
     assert decision.failure.outcome is Outcome.NOT_RUN
--- a/hillfield/gate/tests/test_headers.py
+++ b/hillfield/gate/tests/test_headers.py
@@ -4,9 +4,9 @@
 from tornado.httputil import HTTPHeaders
 
 from hillfield.events import ListJournal
-from hillfield.gate import Gate, HopDialect, Seat
-from hillfield.gate.headers import add_room
-from hillfield.loadreports import Held, read_capacity
+from hillfield.gate import Gate, HopDialect, ServedIncarnation
+from hillfield.gate.headers import add_capacity_header
+from hillfield.loadreports import WithheldWork, read_capacity
 from hillfield.model import (
     Address,
     Locality,
@@ -24,13 +24,13 @@
 
 def open_gate():
     gate = Gate(ListJournal())
-    gate.take_seat(Seat(TARGET, 'i-1'))
+    gate.serve(ServedIncarnation(TARGET, 'i-1'))
     return gate
 
 
 def write(gate):
-    settings = add_room(ProxySettings(Address('127.0.0.1', 0)), gate)
-    return settings.callers.tell_room()
+    settings = add_capacity_header(ProxySettings(Address('127.0.0.1', 0)), gate)
+    return settings.callers.report_capacity()
 
 
 def read(gate):
@@ -85,7 +85,7 @@
     for attempt in gate._state.table.attempts.values():
         attempt.hung = True
     later = replace(TARGET, id=replace(IDENTITY, incarnation=8))
-    gate.take_seat(Seat(later, 'i-2'))
+    gate.serve(ServedIncarnation(later, 'i-2'))
     report = read_capacity(later.id, write(gate))
     assert report is not None
     assert report.usable == 2
@@ -95,9 +95,9 @@
 def test_a_gate_reports_quarantine():
     gate = open_gate()
     sent = admit(gate, 'a')
-    gate.note_written(0, sent.attempt)
+    gate.record_written(0, sent.attempt)
     gate.finish(0.1, sent.attempt, Broken(''))
-    assert read(gate).held >= Held.USUAL
+    assert read(gate).held >= WithheldWork.USUAL
 
 
 def test_a_closing_gate_reports_nothing():
@@ -110,9 +110,9 @@
     gate = open_gate()
     free = read(gate)
     leaving = replace(TARGET, state=TargetState.DRAINING)
-    gate.take_seat(Seat(leaving, 'i-1'))
+    gate.serve(ServedIncarnation(leaving, 'i-1'))
     report = read(gate)
-    assert (report.free, report.held, report.usable) == (0, Held.ALL, 0)
+    assert (report.free, report.held, report.usable) == (0, WithheldWork.ALL, 0)
     assert report.number > free.number
 
 
@@ -123,12 +123,12 @@
 def test_the_hop_dialect_reads_only_reports_of_the_requested_target():
     headers = HTTPHeaders({'Hillfield-Room': write(open_gate())})
     dialect = HopDialect()
-    report = dialect.read_room(IDENTITY, headers)
+    report = dialect.read_capacity(IDENTITY, headers)
     assert report is not None
     assert report.free == 2
     other = replace(IDENTITY, incarnation=6)
-    assert dialect.read_room(other, headers) is None
-    assert dialect.read_room(IDENTITY, HTTPHeaders()) is None
+    assert dialect.read_capacity(other, headers) is None
+    assert dialect.read_capacity(IDENTITY, HTTPHeaders()) is None
 
 
 def test_reports_on_answers_are_passed_to_the_listener():
--- a/hillfield/gate/tests/test_incarnations.py
+++ b/hillfield/gate/tests/test_incarnations.py
@@ -7,7 +7,7 @@
 from hillfield.events import ListJournal
 from hillfield.gate import Gate
 from hillfield.gate.health import AttemptResult
-from hillfield.gate.seating import Seating
+from hillfield.gate.incarnations import IncarnationTracker
 from hillfield.model import Address, RequestPlan, TargetState
 from hillfield.routing.requests import Arrival
 from hillfield.settings.examples import make_example
@@ -23,13 +23,13 @@
     settings = make_example()
     journal = ListJournal()
     gate = Gate(journal)
-    return Seating(TargetRegistry(settings, journal), gate)
+    return IncarnationTracker(TargetRegistry(settings, journal), gate)
 
 
 def test_a_heartbeat_makes_the_target_served(seating):
     announced = seating.announce(0, WALL, 'i-1', 1, READY)
     assert announced.ok.id.incarnation == WALL
-    assert seating.gate.seat.name == 'i-1'
+    assert seating.gate.serving.name == 'i-1'
 
 
 def test_a_later_incarnation_replaces_an_earlier_one_for_good(seating):
@@ -37,27 +37,27 @@
     later = seating.announce(1, WALL, 'i-2', 1, READY)
     assert later.ok.id.incarnation > WALL
     assert seating.announce(1.1, WALL, 'i-1', 2, READY).is_error()
-    assert seating.gate.seat.name == 'i-2'
+    assert seating.gate.serving.name == 'i-2'
 
 
 def test_a_heartbeat_out_of_order_is_ignored(seating):
     seating.announce(0, WALL, 'i-1', 5, DRAINING)
     assert seating.announce(1, WALL, 'i-1', 4, READY).is_error()
-    assert seating.gate.seat is None
+    assert seating.gate.serving is None
 
 
 def test_a_heartbeat_after_a_withdrawal_is_ignored(seating):
     seating.announce(0, WALL, 'i-1', 1, READY)
     seating.withdraw(1, 'i-1')
     assert seating.announce(1.1, WALL, 'i-1', 2, READY).is_error()
-    assert seating.gate.seat is None
+    assert seating.gate.serving is None
 
 
 def test_a_withdrawal_without_a_heartbeat_is_binding(seating):
     """A restarted node acknowledges a withdrawal; a late heartbeat follows."""
     assert seating.withdraw(0, 'i-1').is_error()
     assert seating.announce(0.1, WALL, 'i-1', 2, READY).is_error()
-    assert seating.gate.seat is None
+    assert seating.gate.serving is None
 
 
 def test_leaving_is_binding_where_the_registry_refuses(seating):
@@ -69,15 +69,15 @@
         state=TargetState.DRAINING,
     )
     seating.announce(1, WALL, 'i-1', 2, moved)
-    assert seating.gate.seat is None
+    assert seating.gate.serving is None
 
 
 def test_a_target_without_heartbeats_is_no_longer_served(seating):
     seating.announce(0, WALL, 'i-1', 1, READY)
-    seating.follow_expiry(1)
-    assert seating.gate.seat is not None
-    seating.follow_expiry(3600)
-    assert seating.gate.seat is None
+    seating.drop_expired(1)
+    assert seating.gate.serving is not None
+    seating.drop_expired(3600)
+    assert seating.gate.serving is None
 
 
 def started_at(moment, announcement=READY):
@@ -89,7 +89,7 @@
     seating.gate._state.health.record(0, AttemptResult.BROKEN)
     restarted = seating.announce(1, WALL, 'i-1', 1, started_at(60)).ok
     assert restarted.id.incarnation > first.id.incarnation
-    assert seating.gate.seat.target == restarted
+    assert seating.gate.serving.target == restarted
     assert not seating.gate._state.health.quarantined
 
 
@@ -98,14 +98,14 @@
     restarted = seating.announce(1, WALL, 'i-1', 1, started_at(60)).ok
     drained = started_at(50, DRAINING)
     assert seating.announce(1.1, WALL, 'i-1', 10, drained).is_error()
-    assert seating.gate.seat.target.id == restarted.id
+    assert seating.gate.serving.target.id == restarted.id
 
 
 def test_the_drain_of_an_earlier_incarnation_binds_only_that_one(seating):
     seating.announce(0, WALL, 'i-1', 9, started_at(50, DRAINING))
-    assert seating.gate.seat is None
+    assert seating.gate.serving is None
     seating.announce(1, WALL, 'i-1', 1, started_at(60))
-    assert seating.gate.seat is not None
+    assert seating.gate.serving is not None
 
 
 def test_a_restarted_target_is_served_after_a_withdrawal(seating):
@@ -113,7 +113,7 @@
     seating.withdraw(1, 'i-1', WALL)
     assert seating.announce(1.1, WALL, 'i-1', 10, started_at(50)).is_error()
     seating.announce(1.2, WALL, 'i-1', 1, started_at(60))
-    assert seating.gate.seat is not None
+    assert seating.gate.serving is not None
 
 
 def test_a_withdrawal_without_a_heartbeat_binds_earlier_starts(seating):
@@ -121,13 +121,13 @@
     earlier = started_at(WALL - 1)
     assert seating.announce(1.1, WALL, 'i-1', 2, earlier).is_error()
     seating.announce(1.2, WALL, 'i-1', 1, started_at(WALL + 1))
-    assert seating.gate.seat is not None
+    assert seating.gate.serving is not None
 
 
 def test_a_heartbeat_without_its_start_time_is_refused(seating):
     seating.announce(0, WALL, 'i-1', 1, started_at(50))
     assert seating.announce(1, WALL, 'i-1', 2, READY).is_error()
-    assert seating.gate.seat is not None
+    assert seating.gate.serving is not None
 
 
 def test_requests_of_an_earlier_incarnation_hold_no_slot(seating):
--- a/hillfield/gate/tests/test_leaving.py
+++ b/hillfield/gate/tests/test_leaving.py
@@ -5,8 +5,8 @@
 
 from hillfield.announcements import Announcement, TargetRegistry
 from hillfield.events import ListJournal
-from hillfield.gate import Gate, Seating
-from hillfield.loadreports import Held
+from hillfield.gate import Gate, IncarnationTracker
+from hillfield.loadreports import WithheldWork
 from hillfield.model import (
     Address,
     Outcome,
@@ -25,7 +25,7 @@
 def seating():
     journal = ListJournal()
     registry = TargetRegistry(make_example(), journal)
-    return Seating(registry, Gate(journal))
+    return IncarnationTracker(registry, Gate(journal))
 
 
 def arrive(name, now, left=2):
@@ -43,7 +43,7 @@
     announced = seating.announce(0, WALL, 'i-1', 1, READY).ok
     gate = seating.gate
     sent = gate.admit(1, arrive('a', 1))
-    gate.note_notice(1.1, sent.attempt, TargetNotice(leaving=True))
+    gate.record_notice(1.1, sent.attempt, TargetNotice(leaving=True))
     ended = gate.finish(1.1, sent.attempt, Answered(200))
     assert isinstance(ended, Done)
     later = gate.admit(1.2, arrive('b', 1.2))
@@ -58,9 +58,9 @@
     gate = seating.gate
     arrivals = [arrive(name, 1) for name in 'abcde']
     sent = [gate.admit(1, arrival) for arrival in arrivals]
-    gate.note_notice(1.1, sent[0].attempt, TargetNotice(leaving=True))
+    gate.record_notice(1.1, sent[0].attempt, TargetNotice(leaving=True))
     assert all(map(is_declined, gate.poll(1.1)))
-    gate.note_written(1.1, sent[1].attempt)
+    gate.record_written(1.1, sent[1].attempt)
     ended = gate.finish(1.5, sent[1].attempt, Answered(200))
     assert isinstance(ended, Done)
 
@@ -69,32 +69,32 @@
     seating,
 ):
     announced = seating.announce(0, WALL, 'i-1', 1, READY).ok
-    seating.note_leaving(1, announced.id)
+    seating.record_leaving(1, announced.id)
     assert seating.announce(2, WALL, 'i-1', 2, READY).is_ok()
-    assert seating.gate.seat is None
+    assert seating.gate.serving is None
     report = seating.gate.report(2)
-    assert (report.free, report.held) == (0, Held.ALL)
+    assert (report.free, report.held) == (0, WithheldWork.ALL)
 
 
 def test_the_next_incarnation_at_the_address_is_served(seating):
     announced = seating.announce(0, WALL, 'i-1', 1, READY).ok
-    seating.note_leaving(1, announced.id)
+    seating.record_leaving(1, announced.id)
     seating.announce(4, WALL, 'i-2', 1, READY)
-    assert seating.gate.seat.name == 'i-2'
+    assert seating.gate.serving.name == 'i-2'
     assert seating.gate.report(4).free == 4
 
 
 def test_a_restart_under_the_same_name_is_served(seating):
     first = replace(READY, incarnation=5)
     announced = seating.announce(0, WALL, 'i-1', 1, first).ok
-    seating.note_leaving(1, announced.id)
+    seating.record_leaving(1, announced.id)
     again = replace(READY, incarnation=9)
     seating.announce(4, WALL, 'i-1', 1, again)
-    assert seating.gate.seat is not None
+    assert seating.gate.serving is not None
 
 
 def test_a_leaving_notice_of_an_earlier_incarnation_is_ignored(seating):
     earlier = seating.announce(0, WALL, 'i-1', 1, READY).ok
     seating.announce(1, WALL, 'i-2', 1, READY)
-    seating.note_leaving(2, earlier.id)
-    assert seating.gate.seat.name == 'i-2'
+    seating.record_leaving(2, earlier.id)
+    assert seating.gate.serving.name == 'i-2'
--- a/hillfield/gate/tests/test_limit.py
+++ b/hillfield/gate/tests/test_limit.py
@@ -5,13 +5,13 @@
 from pytest import fixture, mark
 
 from hillfield.events import EventCode, ListJournal
-from hillfield.gate import Gate, Seat
+from hillfield.gate import Gate, ServedIncarnation
 from hillfield.gate.limit import BURST_SECONDS, MINIMUM_RATE, RateLimit
 from hillfield.gate.waiting import MAXIMUM_WAIT
 from hillfield.loadreports import read_capacity, write_capacity
 from hillfield.model import (
     Address,
-    LifeNotice,
+    IncarnationNotice,
     Locality,
     Outcome,
     RequestPlan,
@@ -42,7 +42,7 @@
     def __init__(self, seed, notice, rate=20.0, work=WORK):
         self.journal = ListJournal()
         self.gate = Gate(self.journal)
-        self.gate.take_seat(Seat(TARGET, 'i-1'))
+        self.gate.serve(ServedIncarnation(TARGET, 'i-1'))
         self.notice = notice
         self.rate = rate
         self.work = work
@@ -72,7 +72,7 @@
         match decision:
             case Send():
                 self.sent.append(self.now)
-                self.gate.note_written(self.now, decision.attempt)
+                self.gate.record_written(self.now, decision.attempt)
                 work = self.work * self._random.uniform(0.5, 2)
                 self._ends.append((self.now + work, decision.attempt))
             case Refuse():
@@ -83,7 +83,7 @@
             if end[0] <= self.now:
                 self._ends.remove(end)
                 said = self.notice(self.now)
-                self.gate.note_notice(self.now, end[1], said)
+                self.gate.record_notice(self.now, end[1], said)
                 self.gate.finish(self.now, end[1], Answered(200))
 
 
@@ -172,7 +172,7 @@
         return (
             TargetNotice(2.0)
             if now < 3
-            else TargetNotice(unread='nan', vague=True)
+            else TargetNotice(unreadable='nan', limit_unreadable=True)
         )
 
     fleet = Fleet(7, give_notice).play(12)
@@ -185,21 +185,21 @@
 def test_the_limit_of_an_earlier_incarnation_does_not_apply():
     fleet = Fleet(9, name_from(0, 1.0)).play(5)
     other = TargetId('refunds', IDENTITY.address, 8)
-    serving = Seat(Target(other, TARGET.locality, 4, 300), 'i-2')
-    fleet.gate.take_seat(serving)
+    serving = ServedIncarnation(Target(other, TARGET.locality, 4, 300), 'i-2')
+    fleet.gate.serve(serving)
     decisions = [fleet.gate.admit(5, arrive(name, 5)) for name in 'abcd']
     assert all(isinstance(decision, Send) for decision in decisions)
 
 
 def test_requests_that_waited_before_the_limit_obey_it():
     gate = Gate(ListJournal())
-    gate.take_seat(Seat(TARGET, 'i-1'))
+    gate.serve(ServedIncarnation(TARGET, 'i-1'))
     arrivals = [arrive(name, 0) for name in 'abcdefgh']
     decisions = [gate.admit(0, arrival) for arrival in arrivals]
     sent = [decision for decision in decisions if isinstance(decision, Send)]
     assert len(sent) == TARGET.slots
     for decision in sent:
-        gate.note_notice(0.1, decision.attempt, TargetNotice(2))
+        gate.record_notice(0.1, decision.attempt, TargetNotice(2))
         gate.finish(0.1, decision.attempt, Answered(200))
     polled = gate.poll(0.1)
     assert not any(isinstance(later, Send) for later in polled)
@@ -217,13 +217,13 @@
 
 def open_gate(born=None):
     gate = Gate(ListJournal())
-    gate.take_seat(Seat(TARGET, 'i-1', born))
+    gate.serve(ServedIncarnation(TARGET, 'i-1', born))
     return gate
 
 
 def test_a_new_gate_applies_a_forwarded_limit():
     gate = open_gate()
-    gate.adopt_told(0, LifeNotice('i-1', 0.5))
+    gate.apply_forwarded_notice(0, IncarnationNotice('i-1', 0.5))
     decisions = [gate.admit(0, arrive(name, 0)) for name in 'abc']
     sent = [decision for decision in decisions if isinstance(decision, Send)]
     assert sent == decisions[:1]
@@ -231,19 +231,19 @@
 
 def test_an_answer_of_the_target_overrides_a_forwarded_limit():
     gate = open_gate()
-    gate.adopt_told(0, LifeNotice('i-1', 0.5))
+    gate.apply_forwarded_notice(0, IncarnationNotice('i-1', 0.5))
     sent = gate.admit(0, arrive('a', 0))
-    gate.note_notice(0.2, sent.attempt, TargetNotice())
+    gate.record_notice(0.2, sent.attempt, TargetNotice())
     gate.finish(0.2, sent.attempt, Answered(200))
-    gate.adopt_told(0.3, LifeNotice('i-1', 0.5))
+    gate.apply_forwarded_notice(0.3, IncarnationNotice('i-1', 0.5))
     decisions = [gate.admit(0.3, arrive(name, 0.3)) for name in 'bcd']
     assert all(isinstance(decision, Send) for decision in decisions)
 
 
 def test_forwarded_notices_of_another_incarnation_are_ignored():
     gate = open_gate(born=5)
-    gate.adopt_told(0, LifeNotice('i-1/4', 0.5))
-    gate.adopt_told(0, LifeNotice('i-0/5', leaving=True))
+    gate.apply_forwarded_notice(0, IncarnationNotice('i-1/4', 0.5))
+    gate.apply_forwarded_notice(0, IncarnationNotice('i-0/5', leaving=True))
     decisions = [gate.admit(0, arrive(name, 0)) for name in 'abcd']
     assert all(isinstance(decision, Send) for decision in decisions)
 
@@ -251,13 +251,13 @@
 def test_reports_include_the_limit_until_it_ends():
     gate = open_gate()
     sent = gate.admit(0, arrive('a', 0))
-    gate.note_notice(0.1, sent.attempt, TargetNotice(2.5))
+    gate.record_notice(0.1, sent.attempt, TargetNotice(2.5))
     gate.finish(0.1, sent.attempt, Answered(200))
     report = gate.report(0.1)
-    assert report.notice == LifeNotice('i-1', 2.5)
+    assert report.notice == IncarnationNotice('i-1', 2.5)
     assert read_capacity(IDENTITY, write_capacity(report)) == report
     second = gate.admit(1, arrive('b', 1))
-    gate.note_notice(1.2, second.attempt, TargetNotice())
+    gate.record_notice(1.2, second.attempt, TargetNotice())
     assert gate.report(1.2).notice is None
 
 
--- a/hillfield/gate/tests/test_suspicion.py
+++ b/hillfield/gate/tests/test_suspicion.py
@@ -8,8 +8,8 @@
 from pytest import fixture
 
 from hillfield.events import ListJournal
-from hillfield.gate import Gate, Seat
-from hillfield.loadreports import Held
+from hillfield.gate import Gate, ServedIncarnation
+from hillfield.loadreports import WithheldWork
 from hillfield.model import (
     Address,
     Locality,
@@ -47,7 +47,7 @@
 
 def open_gate(target=TARGET):
     opened = Gate(ListJournal())
-    opened.take_seat(Seat(target, 'i-1'))
+    opened.serve(ServedIncarnation(target, 'i-1'))
     return opened
 
 
@@ -55,7 +55,7 @@
     arrival = Arrival(name, plan, now + plan.deadline, True)
     decision = gate.admit(now, arrival)
     if isinstance(decision, Send):
-        gate.note_written(now, decision.attempt)
+        gate.record_written(now, decision.attempt)
     return decision
 
 
@@ -76,10 +76,10 @@
     for name in 'ab':
         admit(gate, name, 100, CALL)
     gate.poll(100.15)
-    assert gate.report(100.15).held is not Held.ALL
+    assert gate.report(100.15).held is not WithheldWork.ALL
     gate.poll(100.35)
     assert isinstance(admit(gate, 'c', 100.35), Refuse)
-    assert gate.report(100.36).held >= Held.USUAL
+    assert gate.report(100.36).held >= WithheldWork.USUAL
 
 
 def test_long_requests_of_such_ages_are_no_evidence(gate):
@@ -95,7 +95,7 @@
     learn(gate, CALL, 0.1)
     admit(gate, 'a', 100, CALL)
     gate.poll(101.4)
-    assert gate.report(101.4).held is Held.ONCE
+    assert gate.report(101.4).held is WithheldWork.ONCE
 
 
 def test_work_that_must_not_run_twice_avoids_a_suspected_target(gate):
@@ -104,7 +104,7 @@
     healthy_only = admit(gate, 'b', 100.5)
     assert isinstance(healthy_only, Refuse)
     assert healthy_only.failure.detail == 'the target is suspected'
-    allows_suspected = replace(ONCE, urgency=Urgency.SETTLES)
+    allows_suspected = replace(ONCE, urgency=Urgency.ALLOW_SUSPECTED)
     assert isinstance(admit(gate, 'c', 100.5, allows_suspected), Send)
     assert isinstance(admit(gate, 'd', 100.5, CALL), Send)
 
@@ -114,7 +114,7 @@
     for number in range(20):
         sent = admit(gate, f'g{number}', 100 + number, CALL)
         gate.finish(100.05 + number, sent.attempt, CallerGone())
-    assert gate.report(121).held is Held.NOTHING
+    assert gate.report(121).held is WithheldWork.NOTHING
 
 
 def test_a_hedge_that_wins_leaves_evidence_of_the_first_attempt(gate):
@@ -123,7 +123,7 @@
     for number in range(3):
         sent = admit(gate, f'g{number}', 100 + number, CALL)
         gate.finish(100.3 + number, sent.attempt, CallerGone())
-    assert gate.report(103).held >= Held.USUAL
+    assert gate.report(103).held >= WithheldWork.USUAL
 
 
 def test_a_very_late_good_answer_is_no_evidence_of_health(gate):
@@ -132,13 +132,13 @@
         sent = admit(gate, name, 100, CALL)
         gate.finish(101.5, sent.attempt, TimedOut())
     withheld = gate.report(102).held
-    assert withheld >= Held.USUAL
+    assert withheld >= WithheldWork.USUAL
     for number in range(8):
         now = 102 + 3.0 * number
         sent = admit(gate, f't{number}', now, TRIAL)
         assert isinstance(sent, Send)
         gate.finish(now + 1.4, sent.attempt, Answered(200))
-    assert gate.report(130).held >= Held.USUAL
+    assert gate.report(130).held >= WithheldWork.USUAL
 
 
 def test_a_cold_target_may_take_twice_the_time():
@@ -149,8 +149,8 @@
         for name in 'abc':
             admit(gate, name, 0, CALL)
         gate.poll(0.45)
-    assert cold_gate.report(0.45).held <= Held.ONCE
-    assert warm.report(0.45).held >= Held.USUAL
+    assert cold_gate.report(0.45).held <= WithheldWork.ONCE
+    assert warm.report(0.45).held >= WithheldWork.USUAL
 
 
 def test_a_gate_reports_that_a_trial_is_due(gate):
@@ -158,9 +158,9 @@
     for name in 'ab':
         admit(gate, name, 100, CALL)
     gate.poll(100.5)
-    assert gate.report(100.9).held is Held.USUAL
+    assert gate.report(100.9).held is WithheldWork.USUAL
     admit(gate, 'trial', 100.9, TRIAL)
-    assert gate.report(100.95).held is Held.ALL
+    assert gate.report(100.95).held is WithheldWork.ALL
 
 
 class HangingTarget:
@@ -221,9 +221,9 @@
     # The ages of these requests are due to the gate's own pause.
     learn(gate, CALL, 0.05)
     sent = [admit(gate, f'c{number}', 50, CALL) for number in range(5)]
-    gate.excuse(51.2, 1.15)
+    gate.discount_pause(51.2, 1.15)
     gate.poll(51.2)
-    assert gate.report(51.2).held is Held.NOTHING
+    assert gate.report(51.2).held is WithheldWork.NOTHING
     gate.poll(52.4)
-    assert gate.report(52.4).held is not Held.NOTHING
+    assert gate.report(52.4).held is not WithheldWork.NOTHING
     assert len(sent) == 5
--- a/hillfield/gate/tests/test_waiting.py
+++ b/hillfield/gate/tests/test_waiting.py
@@ -3,7 +3,7 @@
 from pytest import fixture
 
 from hillfield.events import ListJournal
-from hillfield.gate import Gate, Seat
+from hillfield.gate import Gate, ServedIncarnation
 from hillfield.model import Address, Locality, RequestPlan, Target, TargetId
 from hillfield.routing.requests import Answered, Arrival, Refuse, Send, Wait
 
@@ -23,7 +23,7 @@
 def full():
     """Return a gate whose slots are all taken by long requests."""
     gate = Gate(ListJournal())
-    gate.take_seat(Seat(TARGET, 'i-1'))
+    gate.serve(ServedIncarnation(TARGET, 'i-1'))
     for number in range(20):
         moment = 2.0 * number
         attempt = send(gate, moment, f'l{number}', LONG).attempt
--- a/hillfield/holding/__init__.py
+++ b/hillfield/holding/__init__.py
@@ -1,23 +1,23 @@
 """Memory budget for the bytes of requests and answers that a node holds."""
 
 from hillfield.holding.budgets import (
-    COME_BACK,
+    RETRY_AFTER,
     ByteBudget,
     ByteLimits,
-    make_budget,
-    make_limits,
-    share_with_callers,
+    build_budget,
+    compute_limits,
+    lift_target_limit,
 )
 from hillfield.holding.pools import BytePool
-from hillfield.holding.reservations import Holder
+from hillfield.holding.reservations import ByteReservation
 
 __all__ = (
-    'COME_BACK',
+    'RETRY_AFTER',
     'ByteBudget',
     'ByteLimits',
     'BytePool',
-    'Holder',
-    'make_budget',
-    'make_limits',
-    'share_with_callers',
+    'ByteReservation',
+    'build_budget',
+    'compute_limits',
+    'lift_target_limit',
 )
--- a/hillfield/holding/budgets.py
+++ b/hillfield/holding/budgets.py
@@ -28,7 +28,7 @@
 TARGET_SHARE: Final = 0.25
 # Seconds after which a refused request may be retried: about the time in which
 # a body of 1 MB is transferred at 10 Mbit/s.
-COME_BACK: Final = 1.0
+RETRY_AFTER: Final = 1.0
 
 
 class ByteLimits(Struct, frozen=True):
@@ -62,7 +62,7 @@
         return ''
 
 
-def make_budget(limits: ByteLimits | None = None) -> ByteBudget:
+def build_budget(limits: ByteLimits | None = None) -> ByteBudget:
     """Create empty pools; without limits they admit everything."""
     limits = limits or ByteLimits()
     return ByteBudget(
@@ -72,7 +72,7 @@
     )
 
 
-def share_with_callers(budget: ByteBudget) -> ByteBudget:
+def lift_target_limit(budget: ByteBudget) -> ByteBudget:
     """Return the same pools without a limit for the target.
 
     It is for requests to targets of any host: each target has a gate, which
@@ -82,12 +82,12 @@
     return ByteBudget(budget.requests, budget.answers, anywhere)
 
 
-def make_limits(memory: int | None) -> ByteLimits:
+def compute_limits(memory: int | None) -> ByteLimits:
     """Compute the limits from a process's memory in bytes; None: no limits.
 
-    >>> make_limits(200_000_000)
+    >>> compute_limits(200_000_000)
     ByteLimits(requests=30000000, answers=30000000, target=50000000)
-    >>> make_limits(60_000_000).requests
+    >>> compute_limits(60_000_000).requests
     3000000
     """
     if memory is None:
--- a/hillfield/holding/reservations.py
+++ b/hillfield/holding/reservations.py
@@ -3,7 +3,7 @@
 from hillfield.holding.budgets import ByteBudget
 
 
-class Holder:
+class ByteReservation:
     """Count one request's bytes in the budget, and release them at its end."""
 
     def __init__(self, budget: ByteBudget, account: str) -> None:
@@ -25,13 +25,13 @@
             self._budget.target.change(self._account, body)
         return refusal
 
-    def note_body(self, size: int) -> None:
+    def record_body(self, size: int) -> None:
         """Count a body of unknown length by the bytes received so far."""
         if size > self._body and not self._released:
             self._budget.target.change(self._account, size - self._body)
             self._body = size
 
-    def pass_body(self) -> None:
+    def record_body_sent(self) -> None:
         """Release the node's bytes: the body was sent to the target."""
         self._budget.requests.change(self._account, -self._kept)
         self._kept = 0
@@ -42,18 +42,18 @@
             self._answer += size
             self._budget.answers.change(self._account, size)
 
-    def drop_answer(self, size: int) -> None:
+    def release_answer(self, size: int) -> None:
         """Release answer bytes that were sent or are not needed."""
         self.add_answer(-min(size, self._answer))
 
-    def end_work(self) -> None:
+    def release_request(self) -> None:
         """Release the request's bytes: it was answered or has failed."""
-        self.pass_body()
+        self.record_body_sent()
         self._budget.target.change(self._account, -self._body)
         self._body = 0
 
     def release(self) -> None:
         """Release all bytes; later calls count nothing."""
-        self.end_work()
-        self.drop_answer(self._answer)
+        self.release_request()
+        self.release_answer(self._answer)
         self._released = True
--- a/hillfield/hostroutes/__init__.py
+++ b/hillfield/hostroutes/__init__.py
@@ -1,6 +1,6 @@
 """Routing of requests by host and path prefix."""
 
-from hillfield.hostroutes.allowances import make_policy
+from hillfield.hostroutes.node_policy import make_policy
 from hillfield.hostroutes.planner import HostPlanner, PlannerSettings
 from hillfield.hostroutes.routes import (
     HostRoute,
--- a/hillfield/hostroutes/tests/test_planner.py
+++ b/hillfield/hostroutes/tests/test_planner.py
@@ -9,8 +9,8 @@
 from pytest import fixture
 
 from hillfield.configuration.entries import Entry
-from hillfield.configuration.schema.credentials import hash_secret
 from hillfield.configuration.schema.accounts import FleetAccount
+from hillfield.configuration.schema.credentials import hash_secret
 from hillfield.events import EventCode, ListJournal
 from hillfield.hostroutes import (
     HostPlanner,
--- a/hillfield/loadreports/__init__.py
+++ b/hillfield/loadreports/__init__.py
@@ -1,12 +1,16 @@
 """Load reports: the free capacity of a target, as its gate reports it."""
 
-from hillfield.loadreports.fields import ROOM, read_capacity, write_capacity
+from hillfield.loadreports.fields import (
+    CAPACITY_HEADER,
+    read_capacity,
+    write_capacity,
+)
 from hillfield.loadreports.pacing import ReportPacer
-from hillfield.loadreports.reports import Held, LoadReport, ReportCodec
+from hillfield.loadreports.reports import LoadReport, ReportCodec, WithheldWork
 
 __all__ = (
-    'ROOM',
-    'Held',
+    'CAPACITY_HEADER',
+    'WithheldWork',
     'LoadReport',
     'ReportCodec',
     'ReportPacer',
--- a/hillfield/loadreports/fields.py
+++ b/hillfield/loadreports/fields.py
@@ -10,10 +10,10 @@
 from msgspec import MsgspecError, Struct
 from msgspec.json import Decoder
 
-from hillfield.loadreports.reports import Held, LoadReport
-from hillfield.model import LifeNotice, TargetId, encode_row
+from hillfield.loadreports.reports import LoadReport, WithheldWork
+from hillfield.model import IncarnationNotice, TargetId, encode_row
 
-ROOM: Final = 'Hillfield-Room'
+CAPACITY_HEADER: Final = 'Hillfield-Room'
 
 
 class _CapacityField(Struct, frozen=True, array_like=True):
@@ -23,10 +23,10 @@
     number: int
     free: int
     waiting: int
-    held: Held
+    held: WithheldWork
     wait: float = 0
     usable: int = 0
-    notice: LifeNotice | None = None
+    notice: IncarnationNotice | None = None
 
 
 _DECODER: Final = Decoder(_CapacityField)
--- a/hillfield/loadreports/pacing.py
+++ b/hillfield/loadreports/pacing.py
@@ -13,7 +13,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from hillfield.loadreports.reports import Held, LoadReport
+from hillfield.loadreports.reports import LoadReport, WithheldWork
 from hillfield.routing.budgets import Bucket
 
 # Seconds between two reports to the own failure domain: a request takes ten
@@ -69,7 +69,7 @@
 
     has_capacity: bool
     rounds: int
-    held: Held
+    held: WithheldWork
     sent_at: float
     times: int = 1
     outdated: bool = False
@@ -116,7 +116,7 @@
         self._far = _count_sent(self._far, state)
         return True
 
-    def note_answer(self, now: float, report: LoadReport) -> None:
+    def record_answer(self, now: float, report: LoadReport) -> None:
         """Record what an answer reports to one node.
 
         If the capacity then is again as reported to all, that node needs a new
@@ -138,13 +138,13 @@
             if importance is _Importance.URGENT
             else RESERVED_REPORTS * datagrams
         )
-        if not self._bucket.can_take(datagrams + reserved):
+        if not self._bucket.can_consume(datagrams + reserved):
             return False
-        if importance is _Importance.QUEUE and not self._queue_bucket.take(
+        if importance is _Importance.QUEUE and not self._queue_bucket.consume(
             datagrams
         ):
             return False
-        return self._bucket.take(datagrams)
+        return self._bucket.consume(datagrams)
 
 
 def _summarize(now: float, report: LoadReport, slots: int) -> _SentState:
--- a/hillfield/loadreports/reports.py
+++ b/hillfield/loadreports/reports.py
@@ -5,10 +5,10 @@
 from msgspec import Struct
 
 from hillfield.loadreports.sealing import SealedCodec
-from hillfield.model import Address, LifeNotice, TargetId
+from hillfield.model import Address, IncarnationNotice, TargetId
 
 
-class Held(IntEnum):
+class WithheldWork(IntEnum):
     """Name the work that a gate withholds from its target.
 
     `ONCE`: requests that must not run twice; `USUAL`: all but a trial; `ALL`:
@@ -39,10 +39,10 @@
     number: int
     free: int
     waiting: int = 0
-    held: Held = Held.NOTHING
+    held: WithheldWork = WithheldWork.NOTHING
     wait: float = 0
     usable: int = 0
-    notice: LifeNotice | None = None
+    notice: IncarnationNotice | None = None
 
     @property
     def target(self) -> TargetId:
--- a/hillfield/loadreports/tests/test_fields.py
+++ b/hillfield/loadreports/tests/test_fields.py
@@ -5,8 +5,8 @@
 from msgspec.structs import replace
 
 from hillfield.loadreports import (
-    Held,
     LoadReport,
+    WithheldWork,
     read_capacity,
     write_capacity,
 )
@@ -23,7 +23,7 @@
     number=numbers,
     free=numbers,
     waiting=numbers,
-    held=st.sampled_from(Held),
+    held=st.sampled_from(WithheldWork),
     wait=st.floats(min_value=0, max_value=3600),
     usable=numbers,
 )
--- a/hillfield/loadreports/tests/test_pacing.py
+++ b/hillfield/loadreports/tests/test_pacing.py
@@ -6,7 +6,12 @@
 from msgspec.structs import replace
 from pytest import mark
 
-from hillfield.loadreports import Held, LoadReport, ReportCodec, ReportPacer
+from hillfield.loadreports import (
+    LoadReport,
+    ReportCodec,
+    ReportPacer,
+    WithheldWork,
+)
 from hillfield.loadreports.pacing import (
     DATAGRAM_BURST,
     DATAGRAM_RATE,
@@ -63,7 +68,7 @@
 def test_a_change_of_withheld_work_is_reported():
     sent_reports = start()
     sent_reports.record(10, FREE)
-    withholding = replace(FREE, held=Held.ALL)
+    withholding = replace(FREE, held=WithheldWork.ALL)
     assert sent_reports.record(10.3, withholding) == (2, 2)
 
 
@@ -131,7 +136,7 @@
     """A node that an answer told of a full target avoided it for seconds."""
     sent_reports = start()
     sent_reports.record(10, FREE)
-    sent_reports.pacer.note_answer(10.1, FULL)
+    sent_reports.pacer.record_answer(10.1, FULL)
     assert sent_reports.record(10.2, FREE) == (2, 1)
     assert sent_reports.record(10.3, FREE) == (2, 2)
     assert sent_reports.record(10.9, FREE) == (2, 2)
@@ -140,7 +145,7 @@
 def test_an_answer_without_a_change_causes_no_report():
     sent_reports = start()
     sent_reports.record(10, FREE)
-    sent_reports.pacer.note_answer(10.1, replace(FREE, free=1, number=2))
+    sent_reports.pacer.record_answer(10.1, replace(FREE, free=1, number=2))
     assert sent_reports.record(10.5, FREE) == (1, 1)
 
 
@@ -149,7 +154,7 @@
     sent_reports = start()
     now = float(10)
     while sent_reports.pacer.is_due_near(now, FREE, SLOTS, RECEIVERS):
-        sent_reports.pacer.note_answer(now, FULL)
+        sent_reports.pacer.record_answer(now, FULL)
         now += 2 * NEAR_INTERVAL
     later = now + RECEIVERS / DATAGRAM_RATE
     assert sent_reports.pacer.is_due_near(later, FREE, SLOTS, RECEIVERS)
@@ -157,7 +162,7 @@
 
 def test_answers_before_the_first_report_change_nothing():
     sent_reports = start()
-    sent_reports.pacer.note_answer(9, FULL)
+    sent_reports.pacer.record_answer(9, FULL)
     assert sent_reports.record(10, FREE) == (1, 1)
 
 
@@ -170,7 +175,7 @@
         now += random.uniform(0, 0.05)
         report = replace(FREE, free=random.randrange(2))
         if random.randrange(2):
-            sent_reports.pacer.note_answer(now, report)
+            sent_reports.pacer.record_answer(now, report)
         else:
             sent_reports.record(now, report)
     allowed = DATAGRAM_BURST + DATAGRAM_RATE * now
--- a/hillfield/metrics/node.py
+++ b/hillfield/metrics/node.py
@@ -96,7 +96,7 @@
         """Count datagrams: `sent`, `received` or `passed` (forwarded)."""
         self._datagrams.count((direction,), times)
 
-    def note_unread_header(self, name: str) -> None:
+    def record_unknown_header(self, name: str) -> None:
         """Count an unknown header; few names are distinguished."""
         self._unread_headers.count((name,))
 
--- a/hillfield/metrics/requests.py
+++ b/hillfield/metrics/requests.py
@@ -64,19 +64,19 @@
             registry=registry,
         )
 
-    def note_request(self, service: str, outcome: Outcome) -> None:
+    def record_request(self, service: str, outcome: Outcome) -> None:
         """Count a request that ended."""
         self._requests.count((service, outcome))
 
-    def note_added(self, seconds: float) -> None:
+    def record_added_latency(self, seconds: float) -> None:
         """Record the seconds that the node added to a request's latency."""
         self._added.observe(seconds)
 
-    def note_retry(self, reason: str) -> None:
+    def record_retry(self, reason: str) -> None:
         """Count a retry."""
         self._retries.count((reason,))
 
-    def note_route(self, age: str, served: bool) -> None:
+    def record_route(self, age: str, served: bool) -> None:
         """Count a request by the age of its route at this node."""
         self._routes.count((age, 'yes' if served else 'no'))
 
--- a/hillfield/metrics/tests/test_node.py
+++ b/hillfield/metrics/tests/test_node.py
@@ -35,8 +35,8 @@
 def test_counts_by_labels():
     metrics = NodeMetrics()
     for outcome in (Outcome.ANSWERED, Outcome.ANSWERED, Outcome.NOT_RUN):
-        metrics.note_request('search', outcome)
-    metrics.note_retry('shed')
+        metrics.record_request('search', outcome)
+    metrics.record_retry('shed')
     metrics.record_refusal('queue-full')
     metrics.record_decision('search', 'ejected')
     metrics.record_store_calls('swap', 'ok', 1)
@@ -59,7 +59,7 @@
 def test_added_latency_is_counted_in_the_bucket_of_its_limit():
     metrics = NodeMetrics()
     for seconds in (0.0015, 0.0017):
-        metrics.note_added(seconds)
+        metrics.record_added_latency(seconds)
     assert (
         read_sample(metrics, 'hillfield_added_seconds_bucket', le='0.0016') == 1
     )
@@ -83,7 +83,7 @@
 
 def test_two_nodes_in_one_process_do_not_share_counts():
     one, other = NodeMetrics(), NodeMetrics()
-    one.note_retry('shed')
+    one.record_retry('shed')
     assert read_sample(other, 'hillfield_retries_total', reason='shed') is None
 
 
@@ -91,7 +91,7 @@
     metrics = NodeMetrics()
     for number in range(100):
         metrics.record_decision(f'service-{number}', 'ejected')
-    metrics.note_added(0.001)
+    metrics.record_added_latency(0.001)
     metrics.watch(FixedSource())
     pieces = [piece for piece in metrics.render() if b'process_' not in piece]
     whole = generate_latest(metrics.registry).splitlines()
--- a/hillfield/model/__init__.py
+++ b/hillfield/model/__init__.py
@@ -2,8 +2,8 @@
 
 from hillfield.model.addresses import Address, parse_address
 from hillfield.model.notices import (
-    SAYS_NOTHING,
-    LifeNotice,
+    NO_NOTICE,
+    IncarnationNotice,
     TargetNotice,
 )
 from hillfield.model.outcomes import Outcome, RequestFailure, Step
@@ -19,12 +19,12 @@
 __all__ = (
     'Address',
     'AnswerChecks',
-    'LifeNotice',
+    'IncarnationNotice',
     'Locality',
     'Outcome',
     'RequestFailure',
     'RequestPlan',
-    'SAYS_NOTHING',
+    'NO_NOTICE',
     'ServicePolicy',
     'Step',
     'Target',
--- a/hillfield/model/notices.py
+++ b/hillfield/model/notices.py
@@ -17,20 +17,20 @@
 
     rate: float | None = None
     leaving: bool = False
-    unread: str = ''
-    vague: bool = False
+    unreadable: str = ''
+    limit_unreadable: bool = False
 
 
-class LifeNotice(Struct, frozen=True, array_like=True):
+class IncarnationNotice(Struct, frozen=True, array_like=True):
     """Hold the notices of one incarnation of a target, sent between nodes.
 
     `incarnation` is the name that the target itself gives it, the same at
     any node in front of it; `rate` and `leaving` are those of its answers.
     """
 
-    life: str
+    incarnation: str
     rate: float | None = None
     leaving: bool = False
 
 
-SAYS_NOTHING: Final = TargetNotice()
+NO_NOTICE: Final = TargetNotice()
--- a/hillfield/model/plans.py
+++ b/hillfield/model/plans.py
@@ -13,10 +13,10 @@
     quarantined ones that are fairly likely to answer, `ALLOW_ANY` all.
     """
 
-    CHOOSY = 0
-    SETTLES = 1
-    INSISTS = 2
-    PRESSES = 3
+    HEALTHY_ONLY = 0
+    ALLOW_SUSPECTED = 1
+    ALLOW_QUARANTINED = 2
+    ALLOW_ANY = 3
 
 
 class AnswerChecks(Struct, frozen=True):
@@ -60,7 +60,7 @@
     priority: int = 0
     origin: str = ''
     trial: bool = False
-    urgency: Urgency = Urgency.CHOOSY
+    urgency: Urgency = Urgency.HEALTHY_ONLY
     aim: float = 0
     spent: float = 0
     route_version: int | None = None
--- a/hillfield/node/fittings.py
+++ b/hillfield/node/adapterparts.py
@@ -7,9 +7,9 @@
 from msgspec import Struct
 
 from hillfield.announcements import TargetRegistry
-from hillfield.detection.paths import PathBoard
-from hillfield.fleet.feeds import FeedSettings
-from hillfield.gate.seating import Seating
+from hillfield.detection.pathdetector import PathDetector
+from hillfield.fleet.store_feed import FeedSettings
+from hillfield.gate.incarnations import IncarnationTracker
 from hillfield.hostroutes import HostPlanner
 from hillfield.model import Address, AnswerChecks
 from hillfield.node.dispatchers import DispatcherRegistry
@@ -22,7 +22,7 @@
 from hillfield.store.ports import OpenStore
 
 
-class Listening(Protocol):
+class ExtraListener(Protocol):
     """Listen on a separate address while the node runs."""
 
     def start(self) -> None:
@@ -32,7 +32,7 @@
         """Close the socket."""
 
 
-class Fittings(Struct, frozen=True):
+class AdapterParts(Struct, frozen=True):
     """Hold the parts that a platform's adapter provides.
 
     `callers` and `hops` are the settings of the two servers, `checks` detect
@@ -51,13 +51,15 @@
     crashes: Address
     checks: AnswerChecks
     relay: FeedSettings
-    make_listeners: Callable[[Seating, NodePage], tuple[Listening, ...]]
+    make_listeners: Callable[
+        [IncarnationTracker, NodePage], tuple[ExtraListener, ...]
+    ]
 
 
 def build_gated_parts(
     settings: NodeSettings,
     recording: Recording,
-    fittings: Fittings,
+    fittings: AdapterParts,
     meter: RequestMeter,
     guard: CrashGuard,
 ) -> Parts:
@@ -68,7 +70,7 @@
     """
     planner = fittings.planner
     journal = recording.journal
-    table = DispatcherTable(settings.locality, PathBoard, Random())
+    table = DispatcherTable(settings.locality, PathDetector, Random())
     dispatchers = DispatcherRegistry(table, planner)
     return Parts(
         settings=settings,
--- a/hillfield/node/calls.py
+++ b/hillfield/node/calls.py
@@ -14,20 +14,20 @@
         self._meter = meter
         self._calls = calls
 
-    def note_request(self, service: str, outcome: Outcome) -> None:
+    def record_request(self, service: str, outcome: Outcome) -> None:
         """Count a request by the outcome reported to its caller."""
-        self._meter.note_request(service, outcome)
+        self._meter.record_request(service, outcome)
         if outcome is not Outcome.ANSWERED:
-            self._calls.note(monotonic(), service)
+            self._calls.record(monotonic(), service)
 
-    def note_added(self, seconds: float) -> None:
+    def record_added_latency(self, seconds: float) -> None:
         """Record the seconds that the node added to the target's latency."""
-        self._meter.note_added(seconds)
+        self._meter.record_added_latency(seconds)
 
-    def note_retry(self, reason: str) -> None:
+    def record_retry(self, reason: str) -> None:
         """Count a retry by how the previous attempt ended."""
-        self._meter.note_retry(reason)
+        self._meter.record_retry(reason)
 
-    def note_route(self, age: str, served: bool) -> None:
+    def record_route(self, age: str, served: bool) -> None:
         """Count a request by the age of its route at this node."""
-        self._meter.note_route(age, served)
+        self._meter.record_route(age, served)
--- a/hillfield/node/crashes.py
+++ b/hillfield/node/crashes.py
@@ -7,22 +7,22 @@
 from hillfield.clocks import monotonic
 from hillfield.crashes import (
     ClearRow,
-    CrashLedger,
-    EndRow,
+    CrashRegistry,
+    ExitRow,
     Findings,
     Fingerprinter,
-    Likeness,
+    RequestIdentity,
     ServedRequests,
-    TargetEnd,
+    TargetExit,
     describe_refusal,
 )
 from hillfield.crashes.cases import Case
-from hillfield.crashes.ledger import CASES_KEPT
+from hillfield.crashes.registry import MAXIMUM_CASES
 from hillfield.events import EventCode, Journal, Occurrence
-from hillfield.fleet.audience import list_others
 from hillfield.fleet.core import Core
+from hillfield.fleet.recipients import list_others
 from hillfield.fleet.records import NodeRecord
-from hillfield.fleet.slots import rank_of
+from hillfield.fleet.slots import compute_rank
 from hillfield.model import RequestFailure
 
 # Rank of a node that has not joined the fleet: it neither lets a trial run
@@ -43,7 +43,7 @@
 
     def __init__(self, key: bytes, journal: Journal) -> None:
         """Start without cases; `key` is the key of the cluster."""
-        self.ledger = CrashLedger()
+        self.registry = CrashRegistry()
         self.on_findings: FindingsListener = _ignore_findings
         self._printer = Fingerprinter(key)
         self._served = ServedRequests()
@@ -56,17 +56,17 @@
         """Set the source of this node's record and of the live members."""
         self._core = core
 
-    def identify(self, likeness: Likeness) -> bytes:
+    def identify(self, likeness: RequestIdentity) -> bytes:
         """Return the fingerprint of a request."""
-        return self._printer.take(likeness)
+        return self._printer.compute(likeness)
 
-    def record_exit(self, target_exit: TargetEnd) -> None:
+    def record_exit(self, target_exit: TargetExit) -> None:
         """Record an exit of this host's target, and report it to all nodes."""
         now = monotonic()
         core = self._core
         gate = '' if core is None else core.own.record.name
         rows = tuple(
-            EndRow(
+            ExitRow(
                 run.fingerprint,
                 gate,
                 target_exit.number,
@@ -80,14 +80,14 @@
 
     def record_answered(self, fingerprint: bytes) -> None:
         """Record that this host's target answered a request and kept running."""
-        self._served.note(monotonic(), fingerprint)
-        case = self.ledger.cases.get(fingerprint)
-        if case is not None and case.ends:
+        self._served.record(monotonic(), fingerprint)
+        case = self.registry.cases.get(fingerprint)
+        if case is not None and case.exits:
             self.clear(fingerprint, SERVED)
 
     def clear(self, fingerprint: bytes, reason: str) -> bool:
         """Mark a request as harmless at all nodes; False if it is unknown."""
-        if not self.ledger.clear(monotonic(), fingerprint):
+        if not self.registry.clear(monotonic(), fingerprint):
             return False
         detail = f'{fingerprint.hex()} {reason}'
         self._record(EventCode.CRASHING_REQUEST_CLEARED, detail)
@@ -96,12 +96,12 @@
 
     def merge(self, now: float, received: Findings) -> None:
         """Merge findings of another node or of the store."""
-        for fingerprint in self.ledger.take(now, received):
-            case = self.ledger.cases[fingerprint]
-            seen = ' '.join(f'{gate}/{number}' for gate, number in case.ends)
+        for fingerprint in self.registry.merge(now, received):
+            case = self.registry.cases[fingerprint]
+            seen = ' '.join(f'{gate}/{number}' for gate, number in case.exits)
             detail = f'{fingerprint.hex()} by exits at {seen}'
             self._record(EventCode.CRASHING_REQUEST_FOUND, detail)
-            if self._served.knows(now, fingerprint):
+            if self._served.was_answered(now, fingerprint):
                 self.clear(fingerprint, SERVED_BEFORE)
 
     def get_rank(self, fingerprint: bytes) -> int:
@@ -114,9 +114,9 @@
         core = self._core
         if core is None:
             return UNRANKED
-        excess = len(self._ranks) > CASES_KEPT
-        if excess or core.book.alive is not self._ranked_among:
-            self._ranked_among = core.book.alive
+        excess = len(self._ranks) > MAXIMUM_CASES
+        if excess or core.state_table.alive is not self._ranked_among:
+            self._ranked_among = core.state_table.alive
             self._ranks.clear()
         rank = self._ranks.get(fingerprint)
         if rank is None:
@@ -148,28 +148,28 @@
         """Decide by the cases of this node."""
         self._tracker = tracker
 
-    def identify(self, likeness: Likeness) -> bytes:
+    def compute_fingerprint(self, likeness: RequestIdentity) -> bytes:
         """Return the fingerprint of a request."""
         return self._tracker.identify(likeness)
 
-    def refuse(
+    def find_refusal(
         self,
         fingerprint: bytes,
         *,
         may_have_run: bool,
     ) -> RequestFailure | None:
         """Return why a request is refused; None if it may be sent."""
-        cases = self._tracker.ledger.cases
+        cases = self._tracker.registry.cases
         case = cases.get(fingerprint) if cases else None
         if case is None or not case.harmful:
             return None
         now = monotonic()
-        if not case.holds(now) and self._is_allowed_trial(now, case):
+        if not case.is_refused(now) and self._is_allowed_trial(now, case):
             return None
         return describe_refusal(
             fingerprint,
-            (gate for gate, _ in case.ends),
-            case.find_wait(now),
+            (gate for gate, _ in case.exits),
+            case.compute_wait(now),
             may_have_run=may_have_run,
         )
 
@@ -188,7 +188,7 @@
     def _is_allowed_trial(self, now: float, case: Case) -> bool:
         if self._tracker.get_rank(case.fingerprint):
             return False
-        return case.may_try(now)
+        return case.claim_trial(now)
 
 
 def _ignore_findings(received: Findings) -> None:
@@ -196,6 +196,6 @@
 
 
 def _rank_among(core: Core, request: str) -> int:
-    own_rank = rank_of(request, core.own.record.name)
-    ranks = (rank_of(request, other.name) for other in list_others(core))
+    own_rank = compute_rank(request, core.own.record.name)
+    ranks = (compute_rank(request, other.name) for other in list_others(core))
     return sum(rank < own_rank for rank in ranks)
--- a/hillfield/node/crashexchange.py
+++ b/hillfield/node/crashexchange.py
@@ -11,8 +11,8 @@
 
 from hillfield.clocks import monotonic
 from hillfield.crashes import (
-    Asking,
     Comparison,
+    ComparisonTimer,
     CrashCodec,
     Findings,
     Inquiry,
@@ -22,7 +22,7 @@
 from hillfield.model import Address
 from hillfield.node.crashes import CallerGuard, CrashTracker, GateGuard
 from hillfield.node.datagrams import DatagramSocket
-from hillfield.timers import Appointment, find_timer
+from hillfield.timers import ScheduledCall, get_shared_timer
 
 # Rows of one datagram, and datagrams sent for one comparison; the rest follows
 # at the next comparison.
@@ -48,20 +48,20 @@
     ) -> None:
         """Prepare; nothing is opened before `start`."""
         self.socket = DatagramSocket(address, self._receive)
-        self.book = book
+        self.tracker = book
         self.at_callers = CallerGuard(book)
         self.at_gate = GateGuard(book)
         self._codec = CrashCodec(key)
         self._random = random
-        self._ticking: Appointment | None = None
+        self._ticking: ScheduledCall | None = None
         self._to_repeat: list[Findings] = []
-        self._inquiry_timer = Asking()
+        self._inquiry_timer = ComparisonTimer()
         book.on_findings = self._broadcast
 
     def start(self) -> None:
         """Open the socket; raises `OSError` if it can't be bound."""
         self.socket.start()
-        self._ticking = find_timer().every(CHECK_INTERVAL, self._tick)
+        self._ticking = get_shared_timer().every(CHECK_INTERVAL, self._tick)
 
     async def stop(self) -> None:
         """Stop sending, and close the socket."""
@@ -81,45 +81,45 @@
                 self._send(findings, hosts)
             self._to_repeat.clear()
         now = monotonic()
-        has_cases = bool(self.book.ledger.cases)
+        has_cases = bool(self.tracker.registry.cases)
         if (
-            self._inquiry_timer.is_due(now, knows=has_cases)
+            self._inquiry_timer.is_due(now, has_reports=has_cases)
             and self._send_inquiry()
         ):
-            self._inquiry_timer.note_asked(now)
+            self._inquiry_timer.record_sent(now)
 
     def _send_inquiry(self) -> bool:
         """Send an inquiry to one other node; False if none is known."""
-        others = self.book.list_others()
-        near = [other for other in others if self.book.is_near(other)]
+        others = self.tracker.list_others()
+        near = [other for other in others if self.tracker.is_near(other)]
         if near and self._random.random() < OWN_DOMAIN_SHARE:
             others = near
         if not others:
             return False
         host = self._random.choice(others).link.ip
-        self._send(Inquiry(self.book.ledger.find_root()), [host])
+        self._send(Inquiry(self.tracker.registry.compute_root()), [host])
         return True
 
     def _receive(self, datagram: bytes, ip: str) -> None:
-        ledger = self.book.ledger
+        ledger = self.tracker.registry
         match self._codec.open(datagram):
             case Findings() as findings:
-                self.book.merge(monotonic(), findings)
-            case Inquiry(root=root) if root != ledger.find_root():
+                self.tracker.merge(monotonic(), findings)
+            case Inquiry(root=root) if root != ledger.compute_root():
                 self._send(Comparison(ledger.list_digests()), [ip])
             case Comparison() as comparison:
                 self._send_differences(comparison, ip)
 
     def _send_differences(self, comparison: Comparison, ip: str) -> None:
         """Send the parts that differ, and request them in return."""
-        own = self.book.ledger.list_digests()
+        own = self.tracker.registry.list_digests()
         pairs = zip(own, comparison.digests, strict=False)
         differing = [
             part
             for part, (own_digest, other_digest) in enumerate(pairs)
             if own_digest != other_digest
         ]
-        findings = self.book.ledger.tell(monotonic(), differing)
+        findings = self.tracker.registry.export(monotonic(), differing)
         batches = list(split_rows(findings, ROWS_PER_DATAGRAM))
         for batch in batches[:DATAGRAMS_PER_COMPARISON]:
             self._send(batch, [ip])
@@ -127,7 +127,7 @@
             self._send(Comparison(own, answering=True), [ip])
 
     def _list_hosts(self) -> list[str]:
-        return [record.link.ip for record in self.book.list_others()]
+        return [record.link.ip for record in self.tracker.list_others()]
 
     def _send(self, message: Message, hosts: list[str]) -> None:
         self.socket.send(self._codec.seal(message), hosts)
--- a/hillfield/node/crashstore.py
+++ b/hillfield/node/crashstore.py
@@ -8,13 +8,13 @@
 from msgspec.structs import replace
 
 from hillfield.clocks import monotonic, read_wall
-from hillfield.crashes import EndRow, Findings, StoredEnds
+from hillfield.crashes import ExitRow, Findings, StoredExits
 from hillfield.crashes.cases import Case
 from hillfield.events import EventCode, Journal, Occurrence
 from hillfield.node.crashes import CrashTracker
 from hillfield.store.paging import Span, read_span
 from hillfield.store.ports import Change, Store, StoredValue, StoreError
-from hillfield.timers import find_timer
+from hillfield.timers import get_shared_timer
 
 MILLISECONDS: Final = 1000
 PAGE: Final = 256
@@ -84,8 +84,8 @@
         """Write or delete the cases that this node owns; False on failure."""
         unwritten = [
             case
-            for case in self._tracker.ledger.cases.values()
-            if not case.settled and self._is_writer(case)
+            for case in self._tracker.registry.cases.values()
+            if not case.stored and self._is_writer(case)
         ]
         done = await gather(*map(self._write_case, unwritten[:CASES_PER_ROUND]))
         return all(done)
@@ -95,11 +95,11 @@
         name = case.fingerprint.hex()
         key = f'{self._prefix}{name}'
         if harmful:
-            kept = StoredEnds(read_wall(), case.list_ends(monotonic()))
+            kept = StoredExits(read_wall(), case.list_exits(monotonic()))
             done = await self._change(Change(key, 0, encode(kept)))
         else:
             done = await self._delete(key)
-        case.settled = done and case.harmful is harmful
+        case.stored = done and case.harmful is harmful
         return done
 
     def _is_writer(self, case: Case) -> bool:
@@ -124,20 +124,20 @@
 
     def _merge_stored(self, stored: StoredValue) -> None:
         try:
-            kept = decode(stored.payload, type=StoredEnds)
+            kept = decode(stored.payload, type=StoredExits)
         except MsgspecError as malformed:
             self._record(f'{stored.key}: {malformed}')
             return
         elapsed = max(0, read_wall() - kept.written) / MILLISECONDS
-        exits = tuple(_age(row, elapsed) for row in kept.ends)
+        exits = tuple(_age(row, elapsed) for row in kept.exits)
         self._tracker.merge(monotonic(), Findings(exits))
         for row in exits:
-            self._tracker.ledger.settle(row.fingerprint)
+            self._tracker.registry.mark_stored(row.fingerprint)
 
     async def _wait(self, *, succeeded: bool) -> None:
         backoff = min(MAXIMUM_BACKOFF, 2 * self._interval)
         self._interval = CHECK_INTERVAL if succeeded else backoff
-        await find_timer().pause(self._interval)
+        await get_shared_timer().sleep(self._interval)
 
     def _record_failure(self, error: StoreError) -> None:
         self._record(f'{error.step}: {error.detail}')
@@ -152,5 +152,5 @@
         )
 
 
-def _age(row: EndRow, seconds: float) -> EndRow:
+def _age(row: ExitRow, seconds: float) -> ExitRow:
     return replace(row, ago=row.ago + seconds)
--- a/hillfield/node/daemon.py
+++ b/hillfield/node/daemon.py
@@ -9,7 +9,7 @@
 from hillfield.node.node import Node, NodeError
 
 
-def run_made(make: Callable[[], Node]) -> NodeError | None:
+def run_until_signal(make: Callable[[], Node]) -> NodeError | None:
     """Run the node that `make` returns in a new loop, until a signal."""
     with asyncio.Runner(loop_factory=uvloop.new_event_loop) as runner:
         return runner.run(_make_and_serve(make))
--- a/hillfield/node/direct.py
+++ b/hillfield/node/direct.py
@@ -7,9 +7,9 @@
 from hillfield.announcements import TargetRegistry
 from hillfield.configuration.serving.replica import Replica
 from hillfield.configuration.serving.view import ConfigurationView
-from hillfield.detection.board import HealthBoard
+from hillfield.detection.healthdetector import HealthDetector
 from hillfield.fleet import Fleet
-from hillfield.node.daemon import run_made, serve_node
+from hillfield.node.daemon import run_until_signal, serve_node
 from hillfield.node.dispatchers import DispatcherRegistry
 from hillfield.node.node import Node, NodeError
 from hillfield.node.parts import (
@@ -51,7 +51,7 @@
 
 def run_node(settings: NodeSettings) -> NodeError | None:
     """Run a node until SIGTERM or SIGINT; return an error if it can't start."""
-    return run_made(partial(DirectNode, settings))
+    return run_until_signal(partial(DirectNode, settings))
 
 
 async def serve(
@@ -75,7 +75,7 @@
     replica = Replica(settings.cluster, journal)
     configuration = ConfigurationView(replica, journal)
     if table is None:
-        table = DispatcherTable(settings.locality, HealthBoard, Random())
+        table = DispatcherTable(settings.locality, HealthDetector, Random())
     dispatchers = DispatcherRegistry(table, configuration)
     proxy = ProxyServer(
         make_proxy_settings(settings),
--- a/hillfield/node/dispatchers.py
+++ b/hillfield/node/dispatchers.py
@@ -5,12 +5,12 @@
 
 from hillfield.clocks import monotonic
 from hillfield.fleet import NodeEvidence
-from hillfield.fleet.findings import FindingsView
+from hillfield.fleet.evidence_view import EvidenceView
 from hillfield.fleet.view import TargetView
 from hillfield.loadreports import LoadReport
 from hillfield.model import ServicePolicy, Target, TargetId, TargetState
 from hillfield.routing import Dispatcher, DispatcherTable
-from hillfield.routing.requests import Verdict
+from hillfield.routing.requests import Decision
 
 
 class PolicySource(Protocol):
@@ -42,14 +42,14 @@
         self._configuration = configuration
         self._retire: Callable[[TargetId], None] = _ignore_retired
         self._targets: TargetView | None = None
-        self._findings: FindingsView | None = None
+        self._findings: EvidenceView | None = None
         self._known: dict[str, frozenset[TargetId]] = {}
         self._generation = 0
 
     def connect(
         self,
         targets: TargetView,
-        findings: FindingsView,
+        findings: EvidenceView,
         retire: Callable[[TargetId], None],
     ) -> None:
         """Set the fleet's views; `retire` closes idle connections to a target."""
@@ -98,7 +98,7 @@
         self,
         now: float,
         report: LoadReport,
-    ) -> tuple[Verdict, ...]:
+    ) -> tuple[Decision, ...]:
         """Apply a gate's load report; return decisions on waiting requests."""
         dispatcher = self.table.find(report.service)
         if dispatcher is None:
--- a/hillfield/node/exchanges.py
+++ b/hillfield/node/exchanges.py
@@ -4,11 +4,11 @@
 
 from hillfield.events import Journal
 from hillfield.gate import Gate
+from hillfield.node.adapterparts import AdapterParts
 from hillfield.node.crashes import CrashTracker
 from hillfield.node.crashexchange import CrashExchange
 from hillfield.node.crashstore import CrashStorage
 from hillfield.node.exits import ExitWatch
-from hillfield.node.fittings import Fittings
 from hillfield.node.parts import Parts
 from hillfield.node.quotas import QuotaExchange
 from hillfield.node.reporting import LoadReporting
@@ -18,7 +18,7 @@
 
 def build_load_reporting(
     parts: Parts,
-    fittings: Fittings,
+    fittings: AdapterParts,
     gate: Gate,
 ) -> LoadReporting:
     """Return the reporter of the capacity of this host's target."""
@@ -33,7 +33,7 @@
     return reporting
 
 
-def build_quota_exchange(parts: Parts, fittings: Fittings) -> QuotaExchange:
+def build_quota_exchange(parts: Parts, fittings: AdapterParts) -> QuotaExchange:
     """Return the enforcement of account limits, set at the planner."""
     quotas = QuotaExchange(
         fittings.quotas,
@@ -47,7 +47,7 @@
 
 def build_crash_exchange(
     settings: NodeSettings,
-    fittings: Fittings,
+    fittings: AdapterParts,
     journal: Journal,
 ) -> CrashExchange:
     """Return the exchange of findings on crashing requests."""
@@ -61,7 +61,7 @@
     return CrashStorage(
         parts.settings.cluster,
         parts.store,
-        crashes.book,
+        crashes.tracker,
         parts.journal,
     )
 
@@ -72,5 +72,5 @@
     crashes: CrashExchange,
 ) -> ExitWatch:
     """Return the watch for exits of this host's target."""
-    gate.on_served = crashes.book.record_answered
-    return ExitWatch(gate, hops.pool, crashes.book.record_exit)
+    gate.on_served = crashes.tracker.record_answered
+    return ExitWatch(gate, hops.pool, crashes.tracker.record_exit)
--- a/hillfield/node/exits.py
+++ b/hillfield/node/exits.py
@@ -5,7 +5,7 @@
 from typing import Final
 
 from hillfield.clocks import monotonic, read_wall
-from hillfield.crashes import TargetEnd
+from hillfield.crashes import TargetExit
 from hillfield.gate import Gate
 from hillfield.model import TargetId
 from hillfield.proxy.pool import Pool
@@ -15,7 +15,7 @@
 # down for seconds, so the second check is reliable.
 SECOND_CHECK_AFTER: Final = 0.05
 
-ExitListener = Callable[[TargetEnd], None]
+ExitListener = Callable[[TargetExit], None]
 
 
 class ExitWatch:
@@ -56,6 +56,6 @@
 
     def _record(self, target: TargetId) -> None:
         wall = read_wall()
-        target_exit = self._gate.note_ended(monotonic(), wall, target)
+        target_exit = self._gate.record_exit(monotonic(), wall, target)
         if target_exit is not None:
             self._on_exit(target_exit)
--- a/hillfield/node/gated.py
+++ b/hillfield/node/gated.py
@@ -10,24 +10,29 @@
 
 from hillfield.clocks import monotonic
 from hillfield.fleet import Fleet, FleetSettings
-from hillfield.fleet.openrelay import OpenRelay
-from hillfield.gate import Gate, GatePlans, Seating, add_room
+from hillfield.fleet.store_watcher import StoreWatcher
+from hillfield.gate import (
+    Gate,
+    GatePlans,
+    IncarnationTracker,
+    add_capacity_header,
+)
 from hillfield.hostroutes import RouteTable
 from hillfield.model import Address
+from hillfield.node.adapterparts import AdapterParts, build_gated_parts
 from hillfield.node.calls import CallMeter
 from hillfield.node.exchanges import (
-    build_crash_storage,
     build_crash_exchange,
+    build_crash_storage,
     build_exit_watch,
-    build_quota_exchange,
     build_load_reporting,
+    build_quota_exchange,
 )
-from hillfield.node.fittings import Fittings, build_gated_parts
 from hillfield.node.node import Node, NodeError
 from hillfield.node.parts import Recording
 from hillfield.proxy import ProxyServer
 from hillfield.settings import NodeSettings
-from hillfield.timers import Appointment, find_timer
+from hillfield.timers import ScheduledCall, get_shared_timer
 
 # Seconds between checks of the requests that wait at the gate.
 GATE_TICK: Final = 0.1
@@ -42,7 +47,7 @@
 DRAINING_ANNOUNCEMENT: Final = 0.5
 # Seconds after which callers send no more requests: readiness is probed once a
 # second, and two probes must fail.
-OUT_OF_SIGHT: Final = 2.4
+UNREADY_SECONDS: Final = 2.4
 # A node publishes its target at the first heartbeat: it has no other target to
 # wait for.
 SETTLE_SECONDS: Final[float] = 0
@@ -74,11 +79,11 @@
         self,
         settings: NodeSettings,
         recording: Recording,
-        fittings: Fittings,
+        fittings: AdapterParts,
     ) -> None:
         """Build the parts; nothing is opened before `start`."""
         self.gate = Gate(recording.journal)
-        meter = CallMeter(recording.metrics, self.gate.calls)
+        meter = CallMeter(recording.metrics, self.gate.failed_calls)
         self.crashes = build_crash_exchange(
             settings, fittings, recording.journal
         )
@@ -90,11 +95,11 @@
             self.crashes.at_callers,
         )
         super().__init__(settings, parts)
-        self.watch.listeners.append(self.gate.excuse)
-        self.seating = Seating(parts.registry, self.gate)
+        self.watch.listeners.append(self.gate.discount_pause)
+        self.seating = IncarnationTracker(parts.registry, self.gate)
         self._fittings = fittings
         self._hops = ProxyServer(
-            add_room(fittings.hops, self.gate),
+            add_capacity_header(fittings.hops, self.gate),
             GatePlans(self.gate, fittings.checks),
             self.gate,
             recording.journal,
@@ -109,7 +114,7 @@
             self._quotas,
             self.crashes,
         )
-        self._gate_ticking: Appointment | None = None
+        self._gate_ticking: ScheduledCall | None = None
         fittings.planner.listener = self._adopt_table
 
     async def abandon(self) -> None:
@@ -130,7 +135,9 @@
             return Error(NodeError('listen', peer, str(failed)))
         for listener in self._listeners:
             listener.start()
-        self._gate_ticking = find_timer().every(GATE_TICK, self._tick_gate)
+        self._gate_ticking = get_shared_timer().every(
+            GATE_TICK, self._tick_gate
+        )
         return listening
 
     def _make_fleet_settings(self, control: Address) -> FleetSettings:
@@ -152,9 +159,9 @@
     ) -> tuple[Coroutine[None, None, None], ...]:
         self._reporting.join(fleet.state.core)
         self._quotas.join(fleet.state.core)
-        self.crashes.book.join(fleet.state.core)
-        self.page.crash_tracker = self.crashes.book
-        relay = OpenRelay(
+        self.crashes.tracker.join(fleet.state.core)
+        self.page.crash_tracker = self.crashes.tracker
+        relay = StoreWatcher(
             fleet,
             self.parts.store,
             self._fittings.relay,
@@ -174,7 +181,7 @@
         await asyncio.sleep(DRAINING_ANNOUNCEMENT)
         self.gate.closing = True
         await asyncio.sleep(
-            OUT_OF_SIGHT - SERVE_WHILE_STOPPING - DRAINING_ANNOUNCEMENT
+            UNREADY_SECONDS - SERVE_WHILE_STOPPING - DRAINING_ANNOUNCEMENT
         )
         await asyncio.gather(self.parts.proxy.drain(), self._hops.drain())
         self._stop_ticking()
@@ -193,7 +200,7 @@
     def _tick_gate(self) -> None:
         now = monotonic()
         self.watch.check(now)
-        self.seating.follow_expiry(now)
+        self.seating.drop_expired(now)
         self._hops.deliver(self.gate.poll(now))
 
     def _adopt_table(self, table: RouteTable) -> None:
--- a/hillfield/node/lateness.py
+++ b/hillfield/node/lateness.py
@@ -8,11 +8,11 @@
 from time import process_time
 from typing import Final
 
-from hillfield.clocks import TOLERATED
+from hillfield.clocks import LATENESS_TOLERANCE
 from hillfield.events import EventCode, Journal, Occurrence
 from hillfield.metrics import NodeMetrics
 from hillfield.routing import DispatcherTable
-from hillfield.timers import STEP
+from hillfield.timers import STEP_SECONDS
 
 # Least lateness in seconds that is logged: at most three lines a second.
 RECORDED: Final = 0.3
@@ -43,13 +43,13 @@
         if checked is None:
             return float()
         late = now - checked - self._period
-        return late if late > TOLERATED else float()
+        return late if late > LATENESS_TOLERANCE else float()
 
 
 class LoopWatch:
     """Detect pauses of the node's loop before decisions based on time.
 
-    Code that decides by the clock calls `check` first, at least every `STEP`
+    Code that decides by the clock calls `check` first, at least every `STEP_SECONDS`
     seconds; `listeners` are called with the pause, so that they do not count
     it as silence of others.
     """
@@ -59,7 +59,7 @@
         self.listeners: list[LatenessListener] = []
         self._journal = journal
         self._metrics = metrics
-        self._lateness = Lateness(STEP)
+        self._lateness = Lateness(STEP_SECONDS)
         self._worked = process_time()
 
     def check(self, now: float) -> None:
@@ -90,4 +90,4 @@
     for service in table.services():
         dispatcher = table.find(service)
         if dispatcher is not None:
-            dispatcher.board.excuse(now, seconds)
+            dispatcher.detector.discount_pause(now, seconds)
--- a/hillfield/node/loadview.py
+++ b/hillfield/node/loadview.py
@@ -6,7 +6,7 @@
 from hillfield.clocks import monotonic
 from hillfield.control.loadpages import DomainLoad, ServiceLoad
 from hillfield.routing import DispatcherTable, RoutingExplanation
-from hillfield.routing.roomviews import RoomExplanation
+from hillfield.routing.capacityviews import CapacityExplanation
 
 WITHHELD: Final = ('usual', 'all')
 
@@ -25,8 +25,8 @@
 def make_load(routing: RoutingExplanation) -> ServiceLoad:
     """Sum up one service by failure domain.
 
-    >>> from hillfield.routing.roomviews import RoomExplanation
-    >>> capacity = RoomExplanation('t', 'a', 6, 1, 2, 0, 'nothing', 0.5)
+    >>> from hillfield.routing.capacityviews import CapacityExplanation
+    >>> capacity = CapacityExplanation('t', 'a', 6, 1, 2, 0, 'nothing', 0.5)
     >>> sum_up('a', [capacity, capacity]).free
     4
     """
@@ -55,7 +55,9 @@
     )
 
 
-def sum_up(domain: str, capacities: Iterable[RoomExplanation]) -> DomainLoad:
+def sum_up(
+    domain: str, capacities: Iterable[CapacityExplanation]
+) -> DomainLoad:
     """Return the sums over the targets of one failure domain."""
     listed = tuple(capacities)
     rates = [capacity.rate for capacity in listed if capacity.rate is not None]
--- a/hillfield/node/node.py
+++ b/hillfield/node/node.py
@@ -17,10 +17,10 @@
 from hillfield.node.page import NodePage
 from hillfield.node.parts import Parts
 from hillfield.node.reading import NodeGauges
-from hillfield.node.ticking import TICK, Ticker
+from hillfield.node.ticking import TICK_SECONDS, Ticker
 from hillfield.proxy import freeze_startup_memory
 from hillfield.settings import NodeSettings
-from hillfield.timers import Appointment, find_timer
+from hillfield.timers import ScheduledCall, get_shared_timer
 
 # Seconds for a store relay to release its slot, so that other nodes need not
 # wait until its lease expires.
@@ -38,7 +38,7 @@
 class Node:
     """Run one node inside a running loop; `tick` is in seconds."""
 
-    tick: float = TICK
+    tick: float = TICK_SECONDS
 
     def __init__(
         self,
@@ -50,7 +50,7 @@
         self.page = NodePage(self.parts)
         self.watch = LoopWatch(parts.journal, parts.metrics)
         self.watch.listeners += (
-            parts.registry.excuse,
+            parts.registry.discount_pause,
             partial(discount_pause, parts.table),
         )
         ports = ControlPorts(
@@ -61,7 +61,7 @@
         )
         self._control = ControlServer(settings, ports)
         self.ticker: Ticker | None = None
-        self._ticking: Appointment | None = None
+        self._ticking: ScheduledCall | None = None
         self._tasks: tuple[asyncio.Task[None], ...] = ()
 
     @property
@@ -163,10 +163,12 @@
         core = fleet.state.core
         parts = self.parts
         self.page.join(fleet)
-        parts.dispatchers.connect(core.view, core.findings, parts.proxy.retire)
+        parts.dispatchers.connect(
+            core.view, core.evidence_view, parts.proxy.retire
+        )
         parts.metrics.watch(NodeGauges(parts, self.page))
         self.ticker = Ticker(parts, fleet, self.watch)
-        self._ticking = find_timer().every(self.tick, self.ticker.tick)
+        self._ticking = get_shared_timer().every(self.tick, self.ticker.tick)
         self._tasks = tuple(
             asyncio.create_task(work) for work in self._list_work(fleet)
         )
--- a/hillfield/node/page.py
+++ b/hillfield/node/page.py
@@ -12,7 +12,7 @@
     ServicePage,
 )
 from hillfield.control.loadpages import ServiceLoad
-from hillfield.fleet import Fleet, NodeRecord, waiting_for
+from hillfield.fleet import Fleet, NodeRecord, describe_missing_readiness
 from hillfield.fleet.core import Core
 from hillfield.model import Target
 from hillfield.node.explaining import make_service_page
@@ -60,7 +60,7 @@
             return Readiness(ready=False, reasons=('starting',))
         if self.leaving:
             return Readiness(ready=False, reasons=('shutting down',))
-        missing = waiting_for(self.core)
+        missing = describe_missing_readiness(self.core)
         if missing:
             return Readiness(ready=False, reasons=(f'waits for {missing}',))
         return Readiness(ready=True)
@@ -109,8 +109,8 @@
     def list_members(self) -> tuple[MemberPage, ...]:
         """Return the nodes of the fleet, this one among them."""
         own = self.core.own.record
-        alive = self.core.book.alive | {own.name}
-        records = {**self.core.book.records, own.name: own}
+        alive = self.core.state_table.alive | {own.name}
+        records = {**self.core.state_table.records, own.name: own}
         return tuple(
             make_member_page(record, alive=name in alive)
             for name, record in sorted(records.items())
--- a/hillfield/node/parts.py
+++ b/hillfield/node/parts.py
@@ -9,7 +9,7 @@
 from hillfield.events import Timeline
 from hillfield.fleet import EntryStore
 from hillfield.metrics import NodeMetrics
-from hillfield.node.dispatchers import PolicySource, DispatcherRegistry
+from hillfield.node.dispatchers import DispatcherRegistry, PolicySource
 from hillfield.node.journal import CountingJournal
 from hillfield.proxy import PlanSource, ProxyServer, ProxySettings
 from hillfield.routing import DispatcherTable
--- a/hillfield/node/probing.py
+++ b/hillfield/node/probing.py
@@ -83,7 +83,7 @@
         dispatcher = self._parts.table.find(service)
         if dispatcher is None:
             return
-        board = dispatcher.board
+        board = dispatcher.detector
         now = monotonic()
         target = self._order.choose(now, board.explain(now))
         if target is None:
--- a/hillfield/node/quotas.py
+++ b/hillfield/node/quotas.py
@@ -10,21 +10,21 @@
 
 from hillfield.clocks import monotonic
 from hillfield.configuration.schema.accounts import FleetAccount
-from hillfield.fleet.audience import list_others
 from hillfield.fleet.core import Core
+from hillfield.fleet.recipients import list_others
 from hillfield.fleet.records import NodeState
 from hillfield.model import Address
 from hillfield.node.datagrams import DatagramSocket
 from hillfield.quotas import (
-    LocalUse,
+    LocalUsage,
     Membership,
     QuotaCodec,
     ShareRow,
-    UseCounter,
-    UseRow,
+    UsageCounter,
+    UsageRow,
 )
-from hillfield.quotas.messages import Shares, Uses
-from hillfield.timers import Appointment, find_timer
+from hillfield.quotas.messages import ShareUpdate, UsageReport
+from hillfield.timers import ScheduledCall, get_shared_timer
 
 # Rows of one datagram; the rest goes into further datagrams.
 ROWS_PER_DATAGRAM: Final = 16
@@ -49,11 +49,11 @@
         """Prepare; nothing is opened before `start`."""
         self.socket = DatagramSocket(address, self._receive)
         self._codec = QuotaCodec(key)
-        self._local = LocalUse(random)
-        self._counts = UseCounter()
+        self._local = LocalUsage(random)
+        self._counts = UsageCounter()
         self._members = Membership()
         self._core: Core | None = None
-        self._ticking: Appointment | None = None
+        self._ticking: ScheduledCall | None = None
 
     def join(self, core: Core) -> None:
         """Set the source of this node's record and of the live members."""
@@ -62,7 +62,7 @@
     def start(self) -> None:
         """Open the socket; raises `OSError` if it can't be bound."""
         self.socket.start()
-        self._ticking = find_timer().every(REPORT_INTERVAL, self._tick)
+        self._ticking = get_shared_timer().every(REPORT_INTERVAL, self._tick)
 
     async def stop(self) -> None:
         """Stop reporting, and close the socket."""
@@ -76,7 +76,7 @@
 
     def ask(self, account: FleetAccount) -> float:
         """Return 0 and count the request, or the seconds to wait."""
-        return self._local.ask(monotonic(), account)
+        return self._local.admit(monotonic(), account)
 
     def _tick(self) -> None:
         """Send due reports and updates."""
@@ -84,33 +84,37 @@
         if core is None:
             return
         now = monotonic()
-        self._members.follow(now, core.book.alive, partial(_has_left, core))
+        self._members.update(
+            now, core.state_table.alive, partial(_has_left, core)
+        )
         due = self._local.list_due(now)
         if due:
             self._report(core, due, now)
-        updates = self._counts.list_news(now, self._members.part)
+        updates = self._counts.list_updates(now, self._members.fraction)
         if updates:
             self._send_to_all(core, updates, now)
 
     def _report(
         self,
         core: Core,
-        due: tuple[UseRow, ...],
+        due: tuple[UsageRow, ...],
         now: float,
     ) -> None:
         own = core.own.record.name
-        by_counter: dict[str, list[UseRow]] = {}
+        by_counter: dict[str, list[UsageRow]] = {}
         for row in due:
-            counter = self._members.find_counter(row.account) or own
+            counter = self._members.select_counter(row.account) or own
             by_counter.setdefault(counter, []).append(row)
         for counter, rows in by_counter.items():
             if counter == own:
-                self._local.take(now, self._count(now, own, tuple(rows)))
+                self._local.apply_shares(
+                    now, self._count(now, own, tuple(rows))
+                )
                 continue
-            record = core.book.records.get(counter)
+            record = core.state_table.records.get(counter)
             if record is not None:
                 for batch in _split(rows):
-                    self._send(Uses(own, batch), record.link.ip)
+                    self._send(UsageReport(own, batch), record.link.ip)
 
     def _send_to_all(
         self,
@@ -118,35 +122,37 @@
         updates: tuple[ShareRow, ...],
         now: float,
     ) -> None:
-        self._local.take(now, updates)
+        self._local.apply_shares(now, updates)
         others = [record.link.ip for record in list_others(core)]
         for rows in _split(updates):
-            self._send(Shares(rows), *others)
+            self._send(ShareUpdate(rows), *others)
 
     def _count(
         self,
         now: float,
         sender: str,
-        rows: tuple[UseRow, ...],
+        rows: tuple[UsageRow, ...],
     ) -> tuple[ShareRow, ...]:
-        return self._counts.take(now, sender, rows, self._members.part)
+        return self._counts.receive_report(
+            now, sender, rows, self._members.fraction
+        )
 
     def _receive(self, datagram: bytes, ip: str) -> None:
         now = monotonic()
         match self._codec.open(datagram):
-            case Uses(sender=sender, rows=rows):
+            case UsageReport(sender=sender, rows=rows):
                 shares = self._count(now, sender, rows)
                 if shares:
-                    self._send(Shares(shares), ip)
-            case Shares(rows=shares):
-                self._local.take(now, shares)
+                    self._send(ShareUpdate(shares), ip)
+            case ShareUpdate(rows=shares):
+                self._local.apply_shares(now, shares)
 
-    def _send(self, message: Uses | Shares, *hosts: str) -> None:
+    def _send(self, message: UsageReport | ShareUpdate, *hosts: str) -> None:
         self.socket.send(self._codec.seal(message), hosts)
 
 
 def _has_left(core: Core, name: str) -> bool:
-    record = core.book.records.get(name)
+    record = core.state_table.records.get(name)
     return record is not None and record.state is NodeState.LEAVING
 
 
--- a/hillfield/node/reading.py
+++ b/hillfield/node/reading.py
@@ -7,7 +7,7 @@
 
 from hillfield.clocks import monotonic
 from hillfield.fleet.core import Core
-from hillfield.fleet.heartbeats import find_age
+from hillfield.fleet.heartbeats import compute_entries_age
 from hillfield.metrics import (
     LimitReading,
     LinkReading,
@@ -39,7 +39,7 @@
                 LinkReading(str(link.address), link.up) for link in core.links
             ),
             limits=tuple(sum_limits(explained)),
-            members=len(core.book.alive),
+            members=len(core.state_table.alive),
             configuration_revision=digest.newest,
             configuration_age=time() - self._page.adopted_at,
             configuration_unconfirmed=find_unconfirmed(core),
@@ -58,7 +58,7 @@
 
 def find_unconfirmed(core: Core) -> float:
     """Return the seconds since the entries were confirmed; NaN if unknown."""
-    age = find_age(core, monotonic())
+    age = compute_entries_age(core, monotonic())
     return nan if age == inf else age
 
 
--- a/hillfield/node/refused.py
+++ b/hillfield/node/refused.py
@@ -21,11 +21,11 @@
         if tracker is None:
             return ()
         now = monotonic()
-        cases = tracker.ledger.cases
+        cases = tracker.registry.cases
         return tuple(
             _make_page(now, cases[fingerprint])
             for fingerprint in sorted(cases)
-            if cases[fingerprint].ends
+            if cases[fingerprint].exits
         )
 
     def lift(self, text: str) -> bool:
@@ -39,12 +39,12 @@
 
 
 def _make_page(now: float, case: Case) -> RefusedRequest:
-    wait = case.find_wait(now)
+    wait = case.compute_wait(now)
     return RefusedRequest(
         case.fingerprint.hex(),
         case.harmful,
-        len(case.ends),
-        tuple(sorted({gate for gate, _ in case.ends})),
-        now - case.last,
+        len(case.exits),
+        tuple(sorted({gate for gate, _ in case.exits})),
+        now - case.last_event,
         None if wait == float('inf') else wait,
     )
--- a/hillfield/node/reporting.py
+++ b/hillfield/node/reporting.py
@@ -4,22 +4,26 @@
 from typing import Final
 
 from hillfield.clocks import monotonic
-from hillfield.fleet.audience import Audience, choose_audience, list_alive
 from hillfield.fleet.core import Core
+from hillfield.fleet.recipients import (
+    ReportRecipients,
+    choose_recipients,
+    list_alive,
+)
 from hillfield.gate import Gate
 from hillfield.loadreports import LoadReport, ReportCodec, ReportPacer
 from hillfield.model import Address
 from hillfield.node.datagrams import DatagramSocket
 from hillfield.node.targetusers import TargetUsers
-from hillfield.routing.requests import Verdict
+from hillfield.routing.requests import Decision
 
 # Seconds for which the chosen recipients of other failure domains are kept.
 RECIPIENTS_KEPT_SECONDS: Final = 1.0
 # Label of the datagram counter for forwarded reports.
 PASSED: Final = 'passed'
 
-ReportListener = Callable[[float, LoadReport], tuple[Verdict, ...]]
-Deliverer = Callable[[tuple[Verdict, ...]], None]
+ReportListener = Callable[[float, LoadReport], tuple[Decision, ...]]
+Deliverer = Callable[[tuple[Decision, ...]], None]
 
 
 class LoadReporting:
@@ -44,7 +48,7 @@
         self._on_report = on_report
         self._deliver = deliver
         self._pacer = ReportPacer()
-        self._recipients = Audience()
+        self._recipients = ReportRecipients()
         self._chosen_at = -RECIPIENTS_KEPT_SECONDS
         self._core: Core | None = None
         self._target_users: TargetUsers | None = None
@@ -58,7 +62,7 @@
         """Open the socket; raises `OSError` if it can't be bound."""
         self.socket.start()
         self._gate.listener = self.send_reports
-        self._gate.on_answer = self._pacer.note_answer
+        self._gate.on_answer = self._pacer.record_answer
 
     async def stop(self) -> None:
         """Close the socket."""
@@ -69,7 +73,7 @@
         report = self._gate.report(now)
         if report is None:
             return
-        serving = self._gate.seat
+        serving = self._gate.serving
         slots = 0 if serving is None else serving.target.slots
         self._apply(now, report)
         users = self._list_users(now, report)
@@ -77,9 +81,9 @@
             self.socket.send(self._codec.seal(report), users)
         recipients = self._get_recipients(now)
         if self._pacer.is_due_far(now, report):
-            self.socket.send(self._codec.seal(report), recipients.far)
+            self.socket.send(self._codec.seal(report), recipients.remote_relays)
 
-    def _get_recipients(self, now: float) -> Audience:
+    def _get_recipients(self, now: float) -> ReportRecipients:
         core = self._core
         if (
             core is not None
@@ -87,7 +91,7 @@
         ):
             self._chosen_at = now
             others = list_alive(core)
-            self._recipients = choose_audience(core.own.record, others)
+            self._recipients = choose_recipients(core.own.record, others)
         return self._recipients
 
     def _list_users(
@@ -108,6 +112,6 @@
             return
         now = monotonic()
         self._apply(now, report)
-        if sender in self._get_recipients(now).elsewhere:
+        if sender in self._get_recipients(now).remote_nodes:
             users = self._list_users(now, report)
             self.socket.send(datagram, users, PASSED)
--- a/hillfield/node/sharing.py
+++ b/hillfield/node/sharing.py
@@ -13,7 +13,7 @@
 
 from hillfield.detection.evidence import Evidence
 from hillfield.detection.indicators import Indicator
-from hillfield.detection.reports import find_indicator
+from hillfield.detection.reports import select_indicator
 from hillfield.fleet import NodeEvidence
 from hillfield.model import TargetId
 
@@ -34,7 +34,7 @@
         return f'{self.target} {self.indicator}'
 
 
-class EvidenceGate:
+class EvidenceFilter:
     """Drop evidence that enough nodes of this failure domain publish."""
 
     def __init__(self, node: str, domain: str) -> None:
@@ -100,7 +100,7 @@
     evidence: tuple[Evidence, ...],
 ) -> Iterator[tuple[EvidenceKey, Evidence]]:
     for piece in evidence:
-        yield EvidenceKey(piece.target, find_indicator(piece)), piece
+        yield EvidenceKey(piece.target, select_indicator(piece)), piece
 
 
 def _rank(node: str, key: EvidenceKey) -> int:
--- a/hillfield/node/targetusers.py
+++ b/hillfield/node/targetusers.py
@@ -10,8 +10,8 @@
 
 from msgspec import Struct
 
-from hillfield.fleet.audience import list_alive
 from hillfield.fleet.core import Core
+from hillfield.fleet.recipients import list_alive
 from hillfield.fleet.records import NodeRecord
 from hillfield.model import Target, TargetId
 from hillfield.routing.subsets import LARGEST_SUBSET, choose_subset
@@ -65,7 +65,7 @@
     ) -> Users:
         cached = self._cached.get(service, _CachedUsers({}))
         revision = self._core.view.revision_of(service)
-        alive = self._core.book.alive
+        alive = self._core.state_table.alive
         unchanged = (cached.revision, cached.alive) == (revision, alive)
         if unchanged or now - cached.moment < USERS_CACHED_SECONDS:
             return cached.users
@@ -79,7 +79,7 @@
         They are needed at each request, so they are cached: the state table
         creates a new set of live members at each change of reachability.
         """
-        alive = self._core.book.alive
+        alive = self._core.state_table.alive
         if alive is not self._alive:
             self._alive = alive
             self._domain_nodes = tuple(_select_domain_nodes(self._core))
--- a/hillfield/node/tests/test_loadview.py
+++ b/hillfield/node/tests/test_loadview.py
@@ -5,8 +5,8 @@
 from pytest import fixture
 
 from hillfield.control.loadpages import DomainLoad
-from hillfield.detection.paths import PathBoard
-from hillfield.loadreports import Held, LoadReport
+from hillfield.detection.pathdetector import PathDetector
+from hillfield.loadreports import LoadReport, WithheldWork
 from hillfield.model import (
     Address,
     Locality,
@@ -35,13 +35,13 @@
 @fixture
 def dispatcher():
     policy = ServicePolicy('claims')
-    made = Dispatcher(policy, HERE, PathBoard(policy, HERE), Random(1))
+    made = Dispatcher(policy, HERE, PathDetector(policy, HERE), Random(1))
     made.adopt_targets(0, TARGETS)
     return made
 
 
 def adopt_report_of(
-    dispatcher, now, target, free, waiting=0, held=Held.NOTHING
+    dispatcher, now, target, free, waiting=0, held=WithheldWork.NOTHING
 ):
     place = target.id.address
     report = LoadReport(
@@ -56,7 +56,7 @@
 
 def test_capacity_is_summed_up_by_failure_domain(dispatcher):
     adopt_report_of(dispatcher, 10, TARGETS[0], 1)
-    adopt_report_of(dispatcher, 11, TARGETS[1], 0, 3, Held.USUAL)
+    adopt_report_of(dispatcher, 11, TARGETS[1], 0, 3, WithheldWork.USUAL)
     adopt_report_of(dispatcher, 12, TARGETS[2], 4)
     near, far = show(dispatcher, 13).domains
     assert near == DomainLoad('a', 2, 8, 1, 3, 1, 3)
--- a/hillfield/node/tests/test_repair.py
+++ b/hillfield/node/tests/test_repair.py
@@ -10,6 +10,7 @@
 
 from msgspec.structs import replace
 
+from hillfield.configuration.editing import Authorship, Editor
 from hillfield.configuration.public import (
     ClientAccount,
     Configuration,
@@ -19,7 +20,6 @@
     Template,
     hash_secret,
 )
-from hillfield.configuration.editing import Authorship, Editor
 from hillfield.demo.layout import (
     CLUSTER,
     find_free,
--- a/hillfield/node/tests/test_reporting.py
+++ b/hillfield/node/tests/test_reporting.py
@@ -10,7 +10,7 @@
 from hillfield.demo.layout import find_free, make_ip
 from hillfield.events import ListJournal
 from hillfield.fleet import NodeRecord
-from hillfield.gate import Gate, Seat
+from hillfield.gate import Gate, ServedIncarnation
 from hillfield.loadreports import LoadReport, ReportCodec
 from hillfield.model import Address, Locality, Target, TargetId
 from hillfield.node.reporting import LoadReporting
@@ -66,11 +66,13 @@
         records = {host.record.name: host.record for host in hosts}
         core: Any = SimpleNamespace(
             own=SimpleNamespace(record=self.record),
-            book=SimpleNamespace(alive=frozenset(records), records=records),
+            state_table=SimpleNamespace(
+                alive=frozenset(records), records=records
+            ),
             view=SimpleNamespace(targets_of=lambda service: ()),
         )
         self.reporting.join(core)
-        self.gate.take_seat(Seat(self.target, 'i'))
+        self.gate.serve(ServedIncarnation(self.target, 'i'))
         # Chooses the recipients; nothing is sent before.
         self.reporting.send_reports(0)
 
--- a/hillfield/node/tests/test_sharing.py
+++ b/hillfield/node/tests/test_sharing.py
@@ -5,7 +5,7 @@
 from hillfield.detection.evidence import Evidence, Symptom
 from hillfield.fleet import NodeEvidence
 from hillfield.model import Address, TargetId
-from hillfield.node.sharing import PUBLISHERS_PER_DOMAIN, EvidenceGate
+from hillfield.node.sharing import PUBLISHERS_PER_DOMAIN, EvidenceFilter
 
 TARGET = TargetId('claims', Address('127.0.0.1', 80), 1)
 PIECE = Evidence(TARGET, Symptom.WRONG, 4, 3, 1)
@@ -32,7 +32,7 @@
     Each piece is flooded: 36 publishers cost each node 8,676 B/s.
     """
     names = [f'node-{number}' for number in range(40)]
-    gates = {name: EvidenceGate(name, 'north') for name in names}
+    gates = {name: EvidenceFilter(name, 'north') for name in names}
     assert len(exchange(gates, 1)) == 40
     publishers = exchange(gates, 3)
     assert len(publishers) == PUBLISHERS_PER_DOMAIN
@@ -43,13 +43,13 @@
     """Each failure domain keeps its own publishers."""
     names = [f'node-{number}' for number in range(9)]
     others = tuple(NodeEvidence(name, 'south', (PIECE,)) for name in names)
-    gate = EvidenceGate('own', 'north')
+    gate = EvidenceFilter('own', 'north')
     assert gate.select((PIECE,), others) == (PIECE,)
 
 
 def test_counts_are_published_again_when_they_grow_by_half():
     """A count that grows by less is not worth the cost of a flood."""
-    gate = EvidenceGate('own', 'north')
+    gate = EvidenceFilter('own', 'north')
     grown = replace(PIECE, failures=4)
     worse = replace(PIECE, failures=5)
     assert gate.select((PIECE,), ()) == (PIECE,)
@@ -59,7 +59,7 @@
 
 def test_the_third_failure_is_published():
     """Otherwise one node ejects a target, and its peers hold two failures."""
-    gate = EvidenceGate('own', 'north')
+    gate = EvidenceFilter('own', 'north')
     few = replace(PIECE, failures=2)
     assert gate.select((few,), ()) == (few,)
     assert gate.select((PIECE,), ()) == (PIECE,)
@@ -67,7 +67,7 @@
 
 def test_evidence_that_ended_is_withdrawn_and_published_again():
     """Evidence that ends and comes back is published as new."""
-    gate = EvidenceGate('own', 'north')
+    gate = EvidenceFilter('own', 'north')
     assert gate.select((PIECE,), ())
     assert not gate.select((), ())
     assert gate.select((PIECE,), ()) == (PIECE,)
@@ -80,7 +80,7 @@
     replaced the stronger one, so that a node ejected a target and its peer did
     not.
     """
-    gate = EvidenceGate('own', 'north')
+    gate = EvidenceFilter('own', 'north')
     late = replace(PIECE, symptom=Symptom.SLOW, slowness=2)
     very_late = replace(late, slowness=4)
     assert gate.select((very_late, late), ()) == (very_late, late)
--- a/hillfield/node/tests/test_targetusers.py
+++ b/hillfield/node/tests/test_targetusers.py
@@ -44,7 +44,7 @@
     known = tuple(map(make_target, range(targets)))
     core: Any = SimpleNamespace(
         own=SimpleNamespace(record=records['r0']),
-        book=SimpleNamespace(alive=frozenset(records), records=records),
+        state_table=SimpleNamespace(alive=frozenset(records), records=records),
         view=SimpleNamespace(
             targets_of=lambda service: known,
             revision_of=lambda service: 1,
@@ -95,8 +95,8 @@
 def test_other_regions_receive_no_reports():
     core, targets = make_fleet(5, 5)
     outsider = make_node(0, region='far')
-    core.book.records[outsider.name] = outsider
-    core.book.alive |= {outsider.name}
+    core.state_table.records[outsider.name] = outsider
+    core.state_table.alive |= {outsider.name}
     assert not TargetUsers(core).list_addresses(100, targets[0].id)
 
 
@@ -104,7 +104,7 @@
     core, targets = make_fleet(235, 178)
     users_by_target = TargetUsers(core)
     before = users_by_target.list_addresses(100, targets[0].id)
-    core.book.alive = frozenset(('r0',))
+    core.state_table.alive = frozenset(('r0',))
     assert users_by_target.list_addresses(101, targets[0].id) == before
     assert not users_by_target.list_addresses(
         101 + USERS_CACHED_SECONDS, targets[0].id
--- a/hillfield/node/ticking.py
+++ b/hillfield/node/ticking.py
@@ -10,17 +10,17 @@
 from hillfield.node.counting import TotalsExporter
 from hillfield.node.lateness import LoopWatch
 from hillfield.node.parts import Parts
-from hillfield.node.sharing import EvidenceGate
+from hillfield.node.sharing import EvidenceFilter
 
-TICK: Final = 0.1
-EVIDENCE_EVERY: Final = 2
+TICK_SECONDS: Final = 0.1
+TICKS_PER_EVIDENCE: Final = 2
 
 
 class Ticker:
     """Run the timers of the parts and pass state between them."""
 
     def __init__(self, parts: Parts, fleet: Fleet, watch: LoopWatch) -> None:
-        """Prepare; the node calls `tick` each `TICK` seconds.
+        """Prepare; the node calls `tick` each `TICK_SECONDS` seconds.
 
         While `leaving`, the host's targets are published as draining.
         """
@@ -28,7 +28,7 @@
         self._fleet = fleet
         self._watch = watch
         self._totals = TotalsExporter(parts, fleet)
-        self._evidence_gate = EvidenceGate(
+        self._evidence_gate = EvidenceFilter(
             parts.settings.name,
             parts.settings.locality.failure_domain,
         )
@@ -46,7 +46,7 @@
             self._parts.replica.mark_complete()
         self._publish_targets(now)
         self._decide(now)
-        if self._ticks % EVIDENCE_EVERY == 0:
+        if self._ticks % TICKS_PER_EVIDENCE == 0:
             self._share_evidence(now)
 
     def withdraw_targets(self) -> None:
@@ -79,7 +79,7 @@
         table = self._parts.table
         core = self._fleet.state.core
         own = table.evidence(now)
-        others = core.findings.evidence() if own else ()
+        others = core.evidence_view.evidence() if own else ()
         self._fleet.publish_evidence(self._evidence_gate.select(own, others))
-        table.adopt_nodes(now, len(core.book.alive))
+        table.adopt_nodes(now, len(core.state_table.alive))
         self._totals.export()
--- a/hillfield/platform/daemon.py
+++ b/hillfield/platform/daemon.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Final
 
-from hillfield.node.daemon import run_made
+from hillfield.node.daemon import run_until_signal
 from hillfield.platform.boot import SETTINGS_VARIABLE, read_boot
 from hillfield.platform.fittings import make_node
 
@@ -18,7 +18,7 @@
     read = read_boot(Path(os.environ.get(SETTINGS_VARIABLE, '')))
     if read.is_error():
         return _report(read.error)
-    failed = run_made(partial(make_node, read.ok))
+    failed = run_until_signal(partial(make_node, read.ok))
     return 0 if failed is None else _report(str(failed))
 
 
--- a/hillfield/platform/fittings.py
+++ b/hillfield/platform/fittings.py
@@ -3,13 +3,13 @@
 from random import Random
 from typing import Final
 
-from hillfield.fleet.feeds import FeedSettings
-from hillfield.gate import HopDialect, Seat, Seating
-from hillfield.holding import make_budget, make_limits, share_with_callers
+from hillfield.fleet.store_feed import FeedSettings
+from hillfield.gate import HopDialect, IncarnationTracker, ServedIncarnation
+from hillfield.holding import build_budget, compute_limits, lift_target_limit
 from hillfield.hostroutes import HostPlanner, PlannerSettings, make_policy
 from hillfield.model import Address
-from hillfield.node.fittings import Fittings, Listening
-from hillfield.node.gated import OUT_OF_SIGHT, GatedNode
+from hillfield.node.adapterparts import AdapterParts, ExtraListener
+from hillfield.node.gated import UNREADY_SECONDS, GatedNode
 from hillfield.node.page import NodePage
 from hillfield.node.parts import Recording, open_recording
 from hillfield.platform.boot import Boot
@@ -28,7 +28,7 @@
 )
 from hillfield.platform.routes import KEY, read_routes
 from hillfield.platform.store import PlatformStore
-from hillfield.proxy import ProxySettings, UnreadHeaders
+from hillfield.proxy import ProxySettings, UnknownHeaders
 from hillfield.store import FollowSettings, RetrySettings, StoreSettings
 
 # Seconds of a connection attempt between hosts, whose way takes 3 ms: one
@@ -67,21 +67,21 @@
         self._boot = boot
         self._recording = recording
         self._node: GatedNode | None = None
-        self._budget = make_budget(make_limits(boot.memory))
+        self._budget = build_budget(compute_limits(boot.memory))
 
     def join(self, node: GatedNode) -> None:
         """Take the node whose target is spoken with."""
         self._node = node
 
-    def find_seat(self) -> Seat | None:
+    def find_seat(self) -> ServedIncarnation | None:
         """Return the present life of the host's target."""
-        return None if self._node is None else self._node.gate.seat
+        return None if self._node is None else self._node.gate.serving
 
     def make_listeners(
         self,
-        seating: Seating,
+        seating: IncarnationTracker,
         page: NodePage,
-    ) -> tuple[Listening, ...]:
+    ) -> tuple[ExtraListener, ...]:
         """Return the servers for heartbeats and for the platform."""
         boot = self._boot
         journal = self._recording.journal
@@ -90,9 +90,9 @@
             make_ready_server(boot.ready, page),
         )
 
-    def make_fittings(self) -> Fittings:
+    def make_fittings(self) -> AdapterParts:
         """Return what the platform brings to a node."""
-        return Fittings(
+        return AdapterParts(
             planner=make_planner(self._boot, self._recording),
             store=self._make_store(),
             callers=self._make_caller_settings(),
@@ -125,27 +125,27 @@
             self._boot.settings.listen.callers,
             pool_idle_timeout=HOP_IDLE_SECONDS,
             gate_port=self._boot.hops.port,
-            sign_within=SIGN_WITHIN,
-            hand_over_after=HAND_OVER_AFTER,
+            keepalive_within=SIGN_WITHIN,
+            two_step_after=HAND_OVER_AFTER,
             callers=CALLERS,
             targets=HopDialect(),
-            budget=share_with_callers(self._budget),
+            budget=lift_target_limit(self._budget),
         )
 
     def _make_hop_settings(self) -> ProxySettings:
         return self._make_proxy_settings(
             self._boot.hops,
             idle_timeout=2 * HOP_IDLE_SECONDS,
-            sign_after=SIGN_AFTER,
+            keepalive_after=SIGN_AFTER,
             # Nodes send one request at a time on a connection.
             pipeline_depth=1,
             callers=HOPS,
             targets=TargetHeaders(
                 self.find_seat,
-                UnreadHeaders(
+                UnknownHeaders(
                     WORDS.list_names(),
                     self._recording.journal,
-                    self._recording.metrics.note_unread_header,
+                    self._recording.metrics.record_unknown_header,
                 ),
             ),
             budget=self._budget,
@@ -157,7 +157,7 @@
         **more: object,
     ) -> ProxySettings:
         boot = self._boot
-        left = boot.grace - OUT_OF_SIGHT - LAST_SECONDS
+        left = boot.grace - UNREADY_SECONDS - LAST_SECONDS
         return ProxySettings(
             address,
             node='',
--- a/hillfield/platform/headers.py
+++ b/hillfield/platform/headers.py
@@ -6,16 +6,16 @@
 
 from tornado.httputil import HTTPHeaders
 
-from hillfield.gate import Seat
+from hillfield.gate import ServedIncarnation
 from hillfield.model import AnswerChecks, RequestPlan
 from hillfield.proxy.dialects import (
     CallerDialect,
+    format_milliseconds,
     read_retry_after,
-    show_milliseconds,
 )
 from hillfield.proxy.fields import Fields
-from hillfield.proxy.notices import AnswerWords, NoticingDialect
-from hillfield.proxy.unread import UnreadHeaders
+from hillfield.proxy.notices import AnswerHeaders, NoticeDialect
+from hillfield.proxy.unknownheaders import UnknownHeaders
 from hillfield.routing.requests import Observation, Send, Shed
 
 # Milliseconds that the sender will wait.
@@ -32,7 +32,7 @@
 # Says that a target did not run the request, whatever the status.
 NOT_RUN: Final = 'X-Not-Executed'
 MISDIRECTED: Final[int] = HTTPStatus.MISDIRECTED_REQUEST
-WORDS: Final = AnswerWords(
+WORDS: Final = AnswerHeaders(
     SIGNATURE,
     limit='Server-Limit',
     leaving='Server-Leaving',
@@ -61,13 +61,13 @@
 REPEATABLE: Final = AnswerChecks(relays_wrong=True)
 
 
-class TargetHeaders(NoticingDialect):
+class TargetHeaders(NoticeDialect):
     """Speak with the host's target; `find_seat` names its present life."""
 
     def __init__(
         self,
-        find_seat: Callable[[], Seat | None],
-        unread: UnreadHeaders,
+        find_seat: Callable[[], ServedIncarnation | None],
+        unread: UnknownHeaders,
     ) -> None:
         """Ask for the seat at each request; `unread` sees all headers."""
         super().__init__(WORDS, unread)
@@ -81,7 +81,7 @@
         remaining: float,
     ) -> None:
         """Add the time left, the life meant, where it began and for whom."""
-        fields.add(DEADLINE, show_milliseconds(remaining))
+        fields.add(DEADLINE, format_milliseconds(remaining))
         fields.add(ORIGIN, plan.origin)
         if plan.account:
             fields.add(ACCOUNT, plan.account)
--- a/hillfield/platform/heartbeats.py
+++ b/hillfield/platform/heartbeats.py
@@ -15,12 +15,12 @@
 from msgspec.json import decode, encode
 from tornado.web import RequestHandler
 
-from hillfield.clocks import monotonic, read_wall
 from hillfield.announcements import Announcement, AnnouncementProblem
 from hillfield.announcements.messages import Amount
+from hillfield.clocks import monotonic, read_wall
 from hillfield.control.plainserver import PlainServer
 from hillfield.events import EventCode, Journal, Occurrence
-from hillfield.gate.seating import Seating
+from hillfield.gate.incarnations import IncarnationTracker
 from hillfield.model import Address, Target, TargetState, parse_address
 from hillfield.node.page import NodePage
 
@@ -90,7 +90,7 @@
 class HeartbeatHandler(RequestHandler):
     """Take heartbeats and farewells of the host's target."""
 
-    def initialize(self, seating: Seating, journal: Journal) -> None:
+    def initialize(self, seating: IncarnationTracker, journal: Journal) -> None:
         """Take where they go."""
         self._seating = seating
         self._journal = journal
@@ -162,7 +162,7 @@
 
 def make_heartbeat_server(
     address: Address,
-    seating: Seating,
+    seating: IncarnationTracker,
     journal: Journal,
 ) -> PlainServer:
     """Return the server that the target calls."""
--- a/hillfield/platform/tests/installation.py
+++ b/hillfield/platform/tests/installation.py
@@ -169,7 +169,7 @@
     async def is_followed(self):
         """Tell whether nodes of both zones have followed the store a while."""
         cores = [host.node.page.core for host in self.hosts if host.node]
-        holders = [core.own.record.relay_of for core in cores]
+        holders = [core.own.record.relay_slot for core in cores]
         zones = {holder.partition('/')[0] for holder in holders if holder}
         await asyncio.sleep(0.5)
         return zones == {'a', 'b'}
--- a/hillfield/platform/tests/standin_target.py
+++ b/hillfield/platform/tests/standin_target.py
@@ -12,7 +12,6 @@
 from tornado.httputil import HTTPHeaders
 from tornado.web import Application, RequestHandler
 
-
 # What is sent of a body that is twice as long, by mood.
 PARTS = MappingProxyType({'cut': b'half', 'endless': bytes(100_000)})
 
--- a/hillfield/platform/tests/test_crashing.py
+++ b/hillfield/platform/tests/test_crashing.py
@@ -25,7 +25,6 @@
     play_crashing,
 )
 
-
 SECONDS = 3.0
 
 
--- a/hillfield/platform/tests/test_in_force.py
+++ b/hillfield/platform/tests/test_in_force.py
@@ -40,7 +40,7 @@
 
 
 def find_held(host):
-    ledger = find_core(host).ledger
+    ledger = find_core(host).entry_index
     return ledger.revision_of(KEY)
 
 
@@ -50,7 +50,7 @@
 
 
 def holds_slot(host):
-    return bool(find_core(host).own.record.relay_of)
+    return bool(find_core(host).own.record.relay_slot)
 
 
 async def kill(hosts):
@@ -97,7 +97,7 @@
     pairs = [
         (host, named[link.name])
         for host in free
-        for link in find_core(host).heard_links()
+        for link in find_core(host).reachable_links()
         if link.name in named
     ]
     return pairs[0]
--- a/hillfield/platform/tests/test_limits.py
+++ b/hillfield/platform/tests/test_limits.py
@@ -104,7 +104,7 @@
         answer = await site.send(host, '/refunds/', 'a')
         assert answer.code != 200
         assert find_rate(host) is None
-        assert host.node.gate.seat is not None
+        assert host.node.gate.serving is not None
 
     play_site(tmp_path, story, ('refunds',))
 
--- a/hillfield/platform/tests/test_nodes.py
+++ b/hillfield/platform/tests/test_nodes.py
@@ -198,7 +198,7 @@
         host = site.hosts[0]
         await host.target.announce(host.control, 'draining', sequence=1000)
         await host.target.announce(host.control, 'ready', sequence=999)
-        assert host.node.gate.seat is None
+        assert host.node.gate.serving is None
 
     play(story)
 
@@ -206,7 +206,7 @@
 def test_a_malformed_heartbeat_is_refused_and_changes_nothing(play):
     async def story(site):
         host = site.hosts[0]
-        seat = host.node.gate.seat
+        seat = host.node.gate.serving
         answer = await site.client.fetch(
             f'http://{host.control}/instances/i-1',
             method='PUT',
@@ -215,7 +215,7 @@
         )
         assert answer.code == 400
         assert b'address' in answer.body
-        assert host.node.gate.seat == seat
+        assert host.node.gate.serving == seat
 
     play(story)
 
--- a/hillfield/platform/tests/test_refused_crashers.py
+++ b/hillfield/platform/tests/test_refused_crashers.py
@@ -254,11 +254,11 @@
 
 
 def find_book(host):
-    return host.node.crashes.book
+    return host.node.crashes.tracker
 
 
 def read_cases(host):
-    return find_book(host).ledger.cases
+    return find_book(host).registry.cases
 
 
 async def is_kept(site):
--- a/hillfield/proxy/__init__.py
+++ b/hillfield/proxy/__init__.py
@@ -5,7 +5,7 @@
 from hillfield.proxy.ports import PlanSource, RequestHead
 from hillfield.proxy.server import ProxyServer
 from hillfield.proxy.settings import ProxySettings
-from hillfield.proxy.unread import UnreadHeaders
+from hillfield.proxy.unknownheaders import UnknownHeaders
 
 __all__ = (
     'PlanSource',
@@ -13,6 +13,6 @@
     'ProxySettings',
     'RequestHead',
     'RequestMeter',
-    'UnreadHeaders',
+    'UnknownHeaders',
     'freeze_startup_memory',
 )
--- a/hillfield/proxy/attempts.py
+++ b/hillfield/proxy/attempts.py
@@ -81,7 +81,7 @@
 
     def abort(self) -> None:
         """End the attempt by closing its connection to the target."""
-        self._planned.holder.drop_answer(len(self.answer.held))
+        self._planned.holder.release_answer(len(self.answer.held))
         self.answer.held.clear()
         super().abort()
 
--- a/hillfield/proxy/context.py
+++ b/hillfield/proxy/context.py
@@ -14,13 +14,13 @@
 from hillfield.proxy.ports import CrashGuard, PlanSource
 from hillfield.proxy.settings import ProxySettings
 from hillfield.routing.ports import Dispatchers, Dispatching
-from hillfield.routing.requests import CallerGone, Send, Verdict
+from hillfield.routing.requests import CallerGone, Decision, Send
 
 
 class RequestOwner(Protocol):
     """Owner of a request that may be queued."""
 
-    def apply(self, decision: Verdict) -> None:
+    def apply(self, decision: Decision) -> None:
         """Carry out a decision of the dispatcher."""
 
     def expire(self) -> None:
@@ -61,7 +61,7 @@
             self.deliver(decision)
         self.poll_timers.schedule(dispatching)
 
-    def deliver(self, decision: Verdict) -> None:
+    def deliver(self, decision: Decision) -> None:
         """Pass a decision to the request that it is for."""
         owner = self.in_flight.get(decision.request)
         if owner is not None:
--- a/hillfield/proxy/deadlines.py
+++ b/hillfield/proxy/deadlines.py
@@ -3,8 +3,8 @@
 from asyncio import get_running_loop
 from collections.abc import Callable
 
-from hillfield.clocks import TOLERATED, monotonic
-from hillfield.timers import run_when_read
+from hillfield.clocks import LATENESS_TOLERANCE, monotonic
+from hillfield.timers import run_after_pending_reads
 
 
 class Deadline:
@@ -28,8 +28,8 @@
         self._end = _end_nothing
 
     def _reach(self) -> None:
-        if monotonic() - self._expires > TOLERATED:
-            run_when_read(self._end_now)
+        if monotonic() - self._expires > LATENESS_TOLERANCE:
+            run_after_pending_reads(self._end_now)
         else:
             self._end_now()
 
--- a/hillfield/proxy/dialects.py
+++ b/hillfield/proxy/dialects.py
@@ -41,7 +41,7 @@
     removed: frozenset[str] = frozenset()
     keeps_ids: bool = False
     fractional: bool = False
-    tell_room: Callable[[], str] = report_no_capacity
+    report_capacity: Callable[[], str] = report_no_capacity
 
 
 class TargetDialect(Protocol):
@@ -63,7 +63,7 @@
     ) -> Observation | None:
         """Return what a failure means that the target did not produce."""
 
-    def read_room(
+    def read_capacity(
         self,
         target: TargetId,
         headers: HTTPHeaders,
@@ -80,11 +80,11 @@
     def is_answer_to(self, request: str, headers: HTTPHeaders) -> bool:
         """Return whether an answer belongs to the request of this id."""
 
-    def note_headers(self, headers: HTTPHeaders) -> None:
+    def inspect_headers(self, headers: HTTPHeaders) -> None:
         """Inspect the headers of an answer that belongs to its request."""
 
     @property
-    def sends_signs(self) -> bool:
+    def sends_keepalives(self) -> bool:
         """Return whether interim answers are keepalives of a node."""
 
 
@@ -99,7 +99,7 @@
         remaining: float,
     ) -> None:
         """Add the deadline and the client account."""
-        fields.add(DEADLINE, show_milliseconds(remaining))
+        fields.add(DEADLINE, format_milliseconds(remaining))
         if plan.account:
             fields.add('Hillfield-Account', plan.account)
 
@@ -115,7 +115,7 @@
             return None
         return Shed(read_retry_after(headers))
 
-    def read_room(
+    def read_capacity(
         self,
         target: TargetId,
         headers: HTTPHeaders,
@@ -133,11 +133,11 @@
         """Return True: these targets answer in order on each connection."""
         return True
 
-    def note_headers(self, headers: HTTPHeaders) -> None:
+    def inspect_headers(self, headers: HTTPHeaders) -> None:
         """Ignore them: all headers of these targets are documented."""
 
     @property
-    def sends_signs(self) -> bool:
+    def sends_keepalives(self) -> bool:
         """Return False: interim answers come from the target itself."""
         return False
 
@@ -151,10 +151,10 @@
     return headers.get(REQUEST_ID, request) == request
 
 
-def show_milliseconds(seconds: float) -> str:
+def format_milliseconds(seconds: float) -> str:
     """Return whole milliseconds as text, at least 0.
 
-    >>> show_milliseconds(0.25), show_milliseconds(-1)
+    >>> format_milliseconds(0.25), format_milliseconds(-1)
     ('250', '0')
     """
     return str(max(0, int(seconds * MILLISECONDS)))
--- a/hillfield/proxy/exchanges.py
+++ b/hillfield/proxy/exchanges.py
@@ -21,14 +21,14 @@
     Answered,
     Arrival,
     CallerGone,
+    Decision,
     Done,
     Observation,
     Refuse,
     Send,
-    Verdict,
     Wait,
 )
-from hillfield.timers import Appointment, find_timer
+from hillfield.timers import ScheduledCall, get_shared_timer
 
 # Seconds in the Retry-After of a request that was not sent before its deadline.
 _RETRY_AFTER: Final = 1.0
@@ -61,7 +61,7 @@
             summary,
         )
         self._final_attempt: Attempt | None = None
-        self._keepalive: Appointment | None = None
+        self._keepalive: ScheduledCall | None = None
         self._deadline = Deadline(
             planned.expires,
             partial(run_guarded, self.expire, self.handle_error),
@@ -78,9 +78,9 @@
             self.fail(refusal)
             return
         self._context.in_flight[request] = self
-        delay = self._context.settings.sign_after
+        delay = self._context.settings.keepalive_after
         if delay:
-            self._keepalive = find_timer().after(
+            self._keepalive = get_shared_timer().after(
                 delay,
                 self._forwarder.send_keepalive,
             )
@@ -97,7 +97,7 @@
             ),
         )
 
-    def apply(self, decision: Verdict) -> None:
+    def apply(self, decision: Decision) -> None:
         """Carry out a decision of the dispatcher."""
         match decision:
             case Send() if self.closed:
@@ -120,7 +120,7 @@
             return
         self._forwarder.record_caller_gone()
         if self.started and not self._running.attempts:
-            self._dispatching.leave(monotonic(), self._planned.forwarding.key)
+            self._dispatching.cancel(monotonic(), self._planned.forwarding.key)
         self._close()
 
     def fail(self, failure: RequestFailure) -> None:
@@ -145,7 +145,7 @@
 
     def handle_end(self, attempt: Attempt, observation: Observation) -> None:
         """Process the end of an attempt."""
-        decision: Verdict = Done(self._planned.forwarding.key)
+        decision: Decision = Done(self._planned.forwarding.key)
         if not attempt.reported:
             decision = self._running.finish(attempt, observation)
         if attempt.answer.is_forwarded:
@@ -169,7 +169,7 @@
             )
             return
         if not self._running.attempts:
-            self._dispatching.leave(monotonic(), self._planned.forwarding.key)
+            self._dispatching.cancel(monotonic(), self._planned.forwarding.key)
         refusal = self._running.expire()
         if refusal is None:
             refusal = _find_deadline_failure(self._running.may_have_run)
@@ -201,7 +201,7 @@
         self._close()
         self._forwarder.send(attempt)
         spent = monotonic() - self._started_at - self._running.target_seconds
-        self._context.meter.note_added(max(0, spent))
+        self._context.meter.record_added_latency(max(0, spent))
 
     def _close(self) -> None:
         self.closed = True
@@ -209,7 +209,7 @@
         if self._keepalive is not None:
             self._keepalive.cancel()
         self._planned.body.discard()
-        self._planned.holder.end_work()
+        self._planned.holder.release_request()
         self._context.in_flight.pop(self._planned.forwarding.key, None)
         busy = bool(self._running.attempts)
         self._running.cancel_attempts()
@@ -229,7 +229,7 @@
 def is_final_answer(
     planned: PlannedRequest,
     observation: Observation,
-    decision: Verdict,
+    decision: Decision,
 ) -> bool:
     """Return whether an attempt's answer is sent to the caller."""
     if not isinstance(observation, Answered):
--- a/hillfield/proxy/forwarding.py
+++ b/hillfield/proxy/forwarding.py
@@ -91,10 +91,10 @@
     def _count(self, outcome: Outcome, *, served: bool = False) -> None:
         plan = self._planned.plan
         meter = self._context.meter
-        meter.note_request(plan.service, outcome)
+        meter.record_request(plan.service, outcome)
         age = classify_route_age(plan, monotonic())
         if age is not None:
-            meter.note_route(age, served)
+            meter.record_route(age, served)
 
     def _record_target_failure(self, attempt: Attempt, status: int) -> None:
         self._record(
--- a/hillfield/proxy/handover.py
+++ b/hillfield/proxy/handover.py
@@ -23,7 +23,7 @@
 from hillfield.proxy.settings import ProxySettings
 from hillfield.proxy.streams import NoDelayStream
 from hillfield.proxy.targetconnections import AnswerReceiver, open_connection
-from hillfield.routing.readings import read_observation
+from hillfield.routing.classification import classify_observation
 from hillfield.routing.requests import (
     Broken,
     NothingWritten,
@@ -31,7 +31,7 @@
     Send,
     TimedOut,
 )
-from hillfield.timers import Appointment
+from hillfield.timers import ScheduledCall
 
 
 class Handover(AnswerReceiver):
@@ -57,7 +57,7 @@
         self._resources = resources
         self._stream: NoDelayStream | None = None
         self._sender: Sender | None = None
-        self._keepalive_check: Appointment | None = None
+        self._keepalive_check: ScheduledCall | None = None
 
     def write_to(self, stream: NoDelayStream) -> None:
         """Write the request, or only its head on an unproven connection."""
@@ -113,13 +113,13 @@
         """Map an end before the full request was written to NothingWritten."""
         uncertain = isinstance(observation, (Broken, TimedOut))
         if self.written_at is None and uncertain:
-            return NothingWritten(read_observation(observation).detail)
+            return NothingWritten(classify_observation(observation).detail)
         return observation
 
     def _note_written(self) -> None:
         self.written_at = monotonic()
         dispatching = self._resources.dispatching
-        dispatching.note_written(self.written_at, self.send.attempt)
+        dispatching.record_written(self.written_at, self.send.attempt)
 
     def _write(self, action: Callable[[], None]) -> None:
         with suppress(StreamClosedError):
@@ -133,7 +133,7 @@
     settings: ProxySettings,
 ) -> bool:
     """Return whether a request should be written in two steps."""
-    after = settings.hand_over_after
+    after = settings.two_step_after
     if after is None:
         return False
     if planned.start_line.method == 'HEAD':
--- a/hillfield/proxy/heads.py
+++ b/hillfield/proxy/heads.py
@@ -9,7 +9,7 @@
 from msgspec import Struct
 from tornado.httputil import HTTPHeaders, RequestStartLine
 
-from hillfield.loadreports import ROOM
+from hillfield.loadreports import CAPACITY_HEADER
 from hillfield.proxy.fields import Fields
 from hillfield.proxy.ports import RequestHead
 
@@ -40,7 +40,7 @@
         'Hillfield-Outcome',
         'Hillfield-Peer',
         'Hillfield-Step',
-        ROOM,
+        CAPACITY_HEADER,
         'X-Deadline-Ms',
         _REQUEST_ID_NAME,
     ),
--- a/hillfield/proxy/incoming.py
+++ b/hillfield/proxy/incoming.py
@@ -52,7 +52,7 @@
         """Receive a head; return whether it is the final one."""
         if start_line.code < _FIRST_FINAL:
             self.received_any = True
-            self.interim = not self._dialect.sends_signs
+            self.interim = not self._dialect.sends_keepalives
             return False
         self.stale = not self._dialect.is_answer_to(self._request, headers)
         if self.stale:
@@ -60,7 +60,7 @@
         self.received_any = True
         self.start_line = start_line
         self.headers = headers
-        self._dialect.note_headers(headers)
+        self._dialect.inspect_headers(headers)
         code = start_line.code
         self.failure = self._dialect.read_failure(code, headers)
         self.notice = self._dialect.read_notice(code, headers)
--- a/hillfield/proxy/keepalives.py
+++ b/hillfield/proxy/keepalives.py
@@ -4,13 +4,18 @@
 from functools import partial
 from typing import Protocol
 
-from hillfield.clocks import TOLERATED, monotonic
+from hillfield.clocks import LATENESS_TOLERANCE, monotonic
 from hillfield.proxy.guards import run_guarded
 from hillfield.proxy.incoming import IncomingAnswer
 from hillfield.proxy.plannedrequests import PlannedRequest
 from hillfield.proxy.resources import AttemptResources
 from hillfield.routing.requests import Broken, Observation, Send
-from hillfield.timers import STEP, Appointment, find_timer, run_when_read
+from hillfield.timers import (
+    STEP_SECONDS,
+    ScheduledCall,
+    get_shared_timer,
+    run_after_pending_reads,
+)
 
 
 class ErrorHandler(Protocol):
@@ -43,13 +48,13 @@
     attempt: AttemptInFlight,
     resources: AttemptResources,
     planned: PlannedRequest,
-) -> Appointment | None:
+) -> ScheduledCall | None:
     """Schedule a check for a keepalive, where the other end sends them.
 
     The end of the attempt must cancel it: until then it references the
     complete request.
     """
-    within = resources.settings.sign_within
+    within = resources.settings.keepalive_within
     if not within:
         return None
     check = partial(
@@ -58,7 +63,7 @@
         attempt.owner.handle_error,
     )
     # On the shared timer: most answers arrive before, and need no wake-up.
-    return find_timer().after(
+    return get_shared_timer().after(
         within,
         partial(_run_in_time, monotonic() + within, check),
     )
@@ -80,7 +85,7 @@
     incomplete = attempt.written_at is None
     if not incomplete:
         # For an incomplete request, its end alone reports the silence.
-        resources.dispatching.note_silent(monotonic(), attempt.send.attempt)
+        resources.dispatching.record_silence(monotonic(), attempt.send.attempt)
     repeatable = planned.plan.idempotent and not planned.body.streamed
     if incomplete or repeatable:
         attempt.end(Broken('no sign of life'))
@@ -89,7 +94,7 @@
 
 def _run_in_time(due: float, check: Callable[[], None]) -> None:
     """Check now, or if the loop is late, after pending input is read."""
-    if monotonic() - due > STEP + TOLERATED:
-        run_when_read(check)
+    if monotonic() - due > STEP_SECONDS + LATENESS_TOLERANCE:
+        run_after_pending_reads(check)
     else:
         check()
--- a/hillfield/proxy/measurement/node.py
+++ b/hillfield/proxy/measurement/node.py
@@ -6,7 +6,7 @@
 from expression import Ok, Result
 from tornado.ioloop import PeriodicCallback
 
-from hillfield.detection.board import HealthBoard
+from hillfield.detection.healthdetector import HealthDetector
 from hillfield.events import ListJournal
 from hillfield.model import (
     Address,
@@ -51,7 +51,7 @@
 
 async def serve(target_port: int) -> None:
     """Serve on a free port until standard input ends."""
-    table = DispatcherTable(_HERE, HealthBoard, Random(1))
+    table = DispatcherTable(_HERE, HealthDetector, Random(1))
     table.adopt_policy(monotonic(), ServicePolicy(_SERVICE, slow_start=0))
     address = Address('127.0.0.1', target_port)
     target = Target(TargetId(_SERVICE, address, 1), _HERE, _SLOTS, _SLOTS)
--- a/hillfield/proxy/meters.py
+++ b/hillfield/proxy/meters.py
@@ -8,30 +8,30 @@
 class RequestMeter(Protocol):
     """Counter of requests; implemented by the node's metrics."""
 
-    def note_request(self, service: str, outcome: Outcome) -> None:
+    def record_request(self, service: str, outcome: Outcome) -> None:
         """Count a request by the outcome sent to its caller."""
 
-    def note_added(self, seconds: float) -> None:
+    def record_added_latency(self, seconds: float) -> None:
         """Record the latency that the node added to the target's own."""
 
-    def note_retry(self, reason: str) -> None:
+    def record_retry(self, reason: str) -> None:
         """Count a further attempt by how the one before ended."""
 
-    def note_route(self, age: str, served: bool) -> None:
+    def record_route(self, age: str, served: bool) -> None:
         """Count a request by the age of its route at this node."""
 
 
 class NoMeter:
     """Meter that counts nothing."""
 
-    def note_request(self, service: str, outcome: Outcome) -> None:
+    def record_request(self, service: str, outcome: Outcome) -> None:
         """Ignore it."""
 
-    def note_added(self, seconds: float) -> None:
+    def record_added_latency(self, seconds: float) -> None:
         """Ignore it."""
 
-    def note_retry(self, reason: str) -> None:
+    def record_retry(self, reason: str) -> None:
         """Ignore it."""
 
-    def note_route(self, age: str, served: bool) -> None:
+    def record_route(self, age: str, served: bool) -> None:
         """Ignore it."""
--- a/hillfield/proxy/notices.py
+++ b/hillfield/proxy/notices.py
@@ -7,9 +7,9 @@
 from msgspec import Struct
 from tornado.httputil import HTTPHeaders
 
-from hillfield.model import SAYS_NOTHING, TargetId, TargetNotice
+from hillfield.model import NO_NOTICE, TargetId, TargetNotice
 from hillfield.proxy.dialects import names_request
-from hillfield.proxy.unread import UnreadHeaders
+from hillfield.proxy.unknownheaders import UnknownHeaders
 
 # More digits than these are not a plausible limit.
 DECIMAL: Final = re.compile(r'\d{1,9}(?:\.\d{1,9})?', re.ASCII)
@@ -23,7 +23,7 @@
 LEAVING: Final = '1'
 
 
-class AnswerWords(Struct, frozen=True):
+class AnswerHeaders(Struct, frozen=True):
     """Names of the headers of targets' answers, in tornado's normalized case.
 
     `digest`: only the target that made the answer can write it; `limit`: the
@@ -41,10 +41,10 @@
         return self.others | {self.digest, self.limit, self.leaving}
 
 
-class NoticingDialect:
+class NoticeDialect:
     """Parts common to dialects of targets that send notices."""
 
-    def __init__(self, names: AnswerWords, unread: UnreadHeaders) -> None:
+    def __init__(self, names: AnswerHeaders, unread: UnknownHeaders) -> None:
         """Use these header names; `unread` inspects all headers."""
         self._names = names
         self._unread = unread
@@ -64,33 +64,33 @@
             return None
         return read_notice(headers, self._names)
 
-    def read_room(self, target: TargetId, headers: HTTPHeaders) -> None:
+    def read_capacity(self, target: TargetId, headers: HTTPHeaders) -> None:
         """Return None: targets don't report their capacity."""
 
     def is_answer_to(self, request: str, headers: HTTPHeaders) -> bool:
         """Return whether an answer belongs to the request of this id."""
         return names_request(request, headers)
 
-    def note_headers(self, headers: HTTPHeaders) -> None:
+    def inspect_headers(self, headers: HTTPHeaders) -> None:
         """Count the headers that are not known."""
         self._unread.count_unknown(headers)
 
     @property
-    def sends_signs(self) -> bool:
+    def sends_keepalives(self) -> bool:
         """Return False: interim answers come from the target itself."""
         return False
 
 
-def read_notice(headers: HTTPHeaders, names: AnswerWords) -> TargetNotice:
+def read_notice(headers: HTTPHeaders, names: AnswerHeaders) -> TargetNotice:
     """Return the notice in an answer's headers.
 
     Of several limits the lowest counts. A limit that can't be parsed has no
     effect: it neither lifts the present limit nor sets one.
 
-    >>> names = AnswerWords('Digest', 'Limit', 'Leaving')
+    >>> names = AnswerHeaders('Digest', 'Limit', 'Leaving')
     >>> read_notice(HTTPHeaders({'Limit': '3, 2.4'}), names).rate
     2.4
-    >>> read_notice(HTTPHeaders({'Limit': '-1'}), names).unread
+    >>> read_notice(HTTPHeaders({'Limit': '-1'}), names).unreadable
     "Limit: '-1'"
     >>> read_notice(HTTPHeaders({'Leaving': '1'}), names).leaving
     True
@@ -98,7 +98,7 @@
     limit = headers.get(names.limit)
     leaving = headers.get(names.leaving)
     if limit is None and leaving is None:
-        return SAYS_NOTHING
+        return NO_NOTICE
     rates = _read_all(DECIMAL, limit)
     flags = _read_all(FLAG, leaving)
     unread = (
@@ -109,7 +109,7 @@
         min(map(float, rates), default=None),
         LEAVING in flags,
         ', '.join(filter(None, unread)),
-        vague=bool(unread[0]),
+        limit_unreadable=bool(unread[0]),
     )
 
 
--- a/hillfield/proxy/plannedrequests.py
+++ b/hillfield/proxy/plannedrequests.py
@@ -5,8 +5,8 @@
 from msgspec import Struct
 from tornado.httputil import HTTPHeaders, RequestStartLine
 
-from hillfield.crashes import Likeness
-from hillfield.holding import Holder
+from hillfield.crashes import RequestIdentity
+from hillfield.holding import ByteReservation
 from hillfield.model import RequestPlan
 from hillfield.proxy.bodies import RequestBody
 from hillfield.proxy.dialects import TargetDialect
@@ -35,7 +35,7 @@
     plan: RequestPlan
     forwarding: ForwardingContext
     expires: float
-    holder: Holder
+    holder: ByteReservation
 
 
 def list_fields(
@@ -53,12 +53,12 @@
     return fields
 
 
-def describe_identity(planned: PlannedRequest) -> Likeness:
+def describe_identity(planned: PlannedRequest) -> RequestIdentity:
     """Return the properties by which a repeated request is recognized.
 
     Of a streamed body, only the part received so far counts.
     """
-    return Likeness(
+    return RequestIdentity(
         planned.start_line.method,
         planned.headers.get('Host', ''),
         planned.start_line.path,
--- a/hillfield/proxy/planning.py
+++ b/hillfield/proxy/planning.py
@@ -5,7 +5,7 @@
 from msgspec.structs import replace
 from tornado.httputil import HTTPHeaders, RequestStartLine
 
-from hillfield.holding import COME_BACK, Holder
+from hillfield.holding import RETRY_AFTER, ByteReservation
 from hillfield.model import RequestFailure, RequestPlan
 from hillfield.proxy.bodies import RequestBody
 from hillfield.proxy.context import ProxyContext
@@ -73,7 +73,7 @@
                 dialect.key_scheme,
             ),
             received_at + deadline,
-            Holder(context.settings.budget, plan.account),
+            ByteReservation(context.settings.budget, plan.account),
         ),
     )
 
@@ -101,7 +101,7 @@
     detail = planned.holder.reserve(*compute_reserve(planned, part_size))
     if not detail:
         return None
-    return Fault.BYTES.failure(detail, retry_after=COME_BACK)
+    return Fault.BYTES.failure(detail, retry_after=RETRY_AFTER)
 
 
 def may_run_concurrently(
--- a/hillfield/proxy/pool.py
+++ b/hillfield/proxy/pool.py
@@ -12,7 +12,7 @@
 from hillfield.model import Address, TargetId
 from hillfield.proxy.settings import ProxySettings
 from hillfield.proxy.streams import NoDelayStream
-from hillfield.timers import wait_until_read
+from hillfield.timers import wait_for_pending_reads
 
 # Seconds before the end of a target's keep-alive timeout in which an idle
 # connection is not reused: a request that crosses the close may have run, and
@@ -155,7 +155,7 @@
         connected = stream.connect((address.ip, address.port))
         await wait((connected,), timeout=self._settings.connect_timeout)
         if not connected.done():
-            await wait_until_read()
+            await wait_for_pending_reads()
         if not connected.done():
             stream.close()
             raise TimeoutError
--- a/hillfield/proxy/ports.py
+++ b/hillfield/proxy/ports.py
@@ -5,7 +5,7 @@
 from expression import Result
 from msgspec import Struct
 
-from hillfield.crashes import Likeness
+from hillfield.crashes import RequestIdentity
 from hillfield.model import RequestFailure, RequestPlan
 
 
@@ -40,10 +40,10 @@
 class CrashGuard(Protocol):
     """Registry of requests that crash the targets that run them."""
 
-    def identify(self, likeness: Likeness) -> bytes:
+    def compute_fingerprint(self, likeness: RequestIdentity) -> bytes:
         """Return the fingerprint of a request."""
 
-    def refuse(
+    def find_refusal(
         self,
         fingerprint: bytes,
         *,
@@ -55,11 +55,11 @@
 class NoCrashGuard:
     """Crash guard that recognizes no request."""
 
-    def identify(self, likeness: Likeness) -> bytes:
+    def compute_fingerprint(self, likeness: RequestIdentity) -> bytes:
         """Return an empty fingerprint."""
         return b''
 
-    def refuse(
+    def find_refusal(
         self,
         fingerprint: bytes,
         *,
--- a/hillfield/proxy/replies.py
+++ b/hillfield/proxy/replies.py
@@ -8,7 +8,7 @@
 from tornado.http1connection import HTTP1Connection
 from tornado.httputil import HTTPHeaders, RequestStartLine, ResponseStartLine
 
-from hillfield.loadreports import ROOM
+from hillfield.loadreports import CAPACITY_HEADER
 from hillfield.model import RequestFailure
 from hillfield.proxy.answers import list_fields, render_body, render_start
 from hillfield.proxy.dialects import CallerDialect
@@ -151,9 +151,9 @@
 
     def _begin(self, fields: Fields) -> None:
         self.begun = True
-        capacity = self._dialect.tell_room()
+        capacity = self._dialect.report_capacity()
         if capacity:
-            fields.add(ROOM, capacity)
+            fields.add(CAPACITY_HEADER, capacity)
 
     def _answer(
         self,
--- a/hillfield/proxy/requests.py
+++ b/hillfield/proxy/requests.py
@@ -83,7 +83,7 @@
         if self._planned is None or exchange is None or exchange.closed:
             self._body.discard()
             return None
-        self._planned.holder.note_body(self._body.size)
+        self._planned.holder.record_body(self._body.size)
         if self._body.size > self._context.settings.body_limit:
             _fail_reading(
                 exchange,
--- a/hillfield/proxy/resources.py
+++ b/hillfield/proxy/resources.py
@@ -28,7 +28,7 @@
     The decision on the attempt then uses the capacity reported with it.
     """
     now = monotonic()
-    resources.dispatching.note_head(now, send.attempt)
-    report = resources.settings.targets.read_room(send.target, headers)
+    resources.dispatching.record_head(now, send.attempt)
+    report = resources.settings.targets.read_capacity(send.target, headers)
     if report is not None:
         resources.dispatching.adopt_report(now, report)
--- a/hillfield/proxy/running.py
+++ b/hillfield/proxy/running.py
@@ -9,7 +9,7 @@
 from hillfield.model import RequestFailure
 from hillfield.proxy.attempts import Attempt, AttemptOwner
 from hillfield.proxy.context import ProxyContext
-from hillfield.proxy.dialects import show_milliseconds
+from hillfield.proxy.dialects import format_milliseconds
 from hillfield.proxy.guards import run_guarded
 from hillfield.proxy.plannedrequests import PlannedRequest, describe_identity
 from hillfield.proxy.resources import AttemptResources
@@ -19,18 +19,18 @@
 from hillfield.routing.requests import (
     Answered,
     CallerGone,
+    Decision,
     NothingWritten,
     Observation,
     Refuse,
     Send,
     Shed,
     TimedOut,
-    Verdict,
 )
 
 # Seconds until a hedge is tried again that found no target or no retry budget:
 # slots become free about this often.
-HEDGE_AGAIN: Final = 0.1
+HEDGE_RETRY_SECONDS: Final = 0.1
 # Observations of a complete answer.
 _COMPLETE: Final = (Answered, Shed)
 _CERTAINLY_NOT_RUN: Final = (Shed, Declined)
@@ -71,12 +71,14 @@
     def compute_fingerprint(self) -> bytes:
         """Compute and keep the fingerprint of the request after its body."""
         guard = self._context.guard
-        self._fingerprint = guard.identify(describe_identity(self._planned))
+        self._fingerprint = guard.compute_fingerprint(
+            describe_identity(self._planned)
+        )
         return self._fingerprint
 
     def find_refusal(self) -> RequestFailure | None:
         """Return why the request must not be sent to any target, if so."""
-        return self._context.guard.refuse(
+        return self._context.guard.find_refusal(
             self._fingerprint,
             may_have_run=self.may_have_run or bool(self.attempts),
         )
@@ -110,7 +112,7 @@
             self._schedule_hedge(owner)
         return None
 
-    def finish(self, attempt: Attempt, observation: Observation) -> Verdict:
+    def finish(self, attempt: Attempt, observation: Observation) -> Decision:
         """Report the end of an attempt and return the decision that follows."""
         self.attempts.pop(attempt.send.attempt, None)
         now = monotonic()
@@ -134,7 +136,7 @@
             attempt.answer.notice = None
             now = monotonic()
             number = attempt.send.attempt
-            self._dispatching.note_notice(now, number, notice)
+            self._dispatching.record_notice(now, number, notice)
 
     def cancel_attempts(self, winner: Attempt | None = None) -> None:
         """Cancel all attempts except the winner."""
@@ -156,8 +158,8 @@
         return refusal
 
     def _record_retry(self, send: Send) -> None:
-        self._context.meter.note_retry(self._last_end)
-        left = show_milliseconds(self._planned.expires - monotonic())
+        self._context.meter.record_retry(self._last_end)
+        left = format_milliseconds(self._planned.expires - monotonic())
         self._context.journal.record(
             Occurrence(
                 EventCode.REQUEST_SENT_ON,
@@ -169,7 +171,7 @@
         )
 
     def _schedule_hedge(self, owner: AttemptOwner) -> None:
-        delay = self._dispatching.find_hedge_delay(self._planned.plan)
+        delay = self._dispatching.compute_hedge_delay(self._planned.plan)
         if delay is not None:
             self._start_hedge_timer(delay, owner)
 
@@ -194,7 +196,7 @@
             self._planned.forwarding.key,
         )
         if send is None:
-            self._start_hedge_timer(HEDGE_AGAIN, owner)
+            self._start_hedge_timer(HEDGE_RETRY_SECONDS, owner)
             return
         self._context.journal.record(
             Occurrence(
--- a/hillfield/proxy/sending.py
+++ b/hillfield/proxy/sending.py
@@ -113,7 +113,7 @@
                 return
             part = await body.next_part()
         if body.complete:
-            self._planned.holder.pass_body()
+            self._planned.holder.record_body_sent()
             self._finish()
 
     def _finish(self) -> None:
--- a/hillfield/proxy/server.py
+++ b/hillfield/proxy/server.py
@@ -14,8 +14,8 @@
 from hillfield.proxy.ports import CrashGuard, NoCrashGuard, PlanSource
 from hillfield.proxy.settings import ProxySettings
 from hillfield.routing.ports import Dispatchers
-from hillfield.routing.requests import Verdict
-from hillfield.timers import Appointment, find_timer
+from hillfield.routing.requests import Decision
+from hillfield.timers import ScheduledCall, get_shared_timer
 
 _SWEEP_SECONDS: Final = 0.5
 
@@ -50,7 +50,7 @@
         self.pool = self._context.pool
         self._acceptor: Acceptor | None = None
         self._connections = CallerConnections(self._context)
-        self._sweeper: Appointment | None = None
+        self._sweeper: ScheduledCall | None = None
 
     def start(self) -> None:
         """Start listening; `address` then contains the port."""
@@ -59,7 +59,7 @@
             self._connections.accept,
         )
         self.address = self._acceptor.address
-        self._sweeper = find_timer().every(_SWEEP_SECONDS, self._sweep)
+        self._sweeper = get_shared_timer().every(_SWEEP_SECONDS, self._sweep)
 
     def adopt_limits(
         self,
@@ -77,7 +77,7 @@
             idle_timeout=idle_seconds,
         )
 
-    def deliver(self, decisions: tuple[Verdict, ...]) -> None:
+    def deliver(self, decisions: tuple[Decision, ...]) -> None:
         """Carry out decisions on queued requests."""
         for decision in decisions:
             self._context.deliver(decision)
--- a/hillfield/proxy/settings.py
+++ b/hillfield/proxy/settings.py
@@ -2,7 +2,7 @@
 
 from msgspec import Struct, field
 
-from hillfield.holding import ByteBudget, make_budget
+from hillfield.holding import ByteBudget, build_budget
 from hillfield.model import Address
 from hillfield.proxy.dialects import (
     CallerDialect,
@@ -49,10 +49,10 @@
     drain_grace: float = 1
     drain_timeout: float = 120
     gate_port: int | None = None
-    sign_after: float = 0
-    sign_within: float = 0
-    hand_over_after: float | None = None
+    keepalive_after: float = 0
+    keepalive_within: float = 0
+    two_step_after: float | None = None
     pipeline_depth: int = 4
-    budget: ByteBudget = field(default_factory=make_budget)
+    budget: ByteBudget = field(default_factory=build_budget)
     callers: CallerDialect = CallerDialect()
     targets: TargetDialect = field(default_factory=HillfieldDialect)
--- a/hillfield/proxy/summaries.py
+++ b/hillfield/proxy/summaries.py
@@ -36,7 +36,7 @@
         self._unsent = 0
         self._sent = 0
         self._first_sent: float | None = None
-        self._urgency = Urgency.CHOOSY
+        self._urgency = Urgency.HEALTHY_ONLY
 
     def record_sent(self, send: Send) -> None:
         """Record the start of an attempt."""
--- a/hillfield/proxy/tests/conftest.py
+++ b/hillfield/proxy/tests/conftest.py
@@ -68,20 +68,20 @@
             return Wait(arrival.request)
         return self.send(arrival.request, 0)
 
-    def note_written(self, now, attempt):
+    def record_written(self, now, attempt):
         self.calls.append(('written', attempt))
         raise_if_failing(self.failing, 'written')
 
-    def note_head(self, now, attempt):
+    def record_head(self, now, attempt):
         self.calls.append(('head', attempt))
 
     def adopt_report(self, now, report):
         self.calls.append(('capacity', report))
 
-    def note_notice(self, now, attempt, notice):
+    def record_notice(self, now, attempt, notice):
         self.calls.append(('notice', attempt, notice))
 
-    def note_silent(self, now, attempt):
+    def record_silence(self, now, attempt):
         self.calls.append(('silence', attempt))
 
     def finish(self, now, attempt, observation):
@@ -105,13 +105,13 @@
     def build_invalid_refusal(self, request):
         return Refuse(request, None)
 
-    def find_hedge_delay(self, plan):
+    def compute_hedge_delay(self, plan):
         return plan.hedge_after
 
     def hedge(self, now, request):
         return self.send(request, 1) if self.hedging else None
 
-    def leave(self, now, request):
+    def cancel(self, now, request):
         self.calls.append(('leave', request))
 
     def poll(self, now):
@@ -164,16 +164,16 @@
         self.counted = []
         self.routes = []
 
-    def note_request(self, service, outcome):
+    def record_request(self, service, outcome):
         self.counted.append((service, outcome))
 
-    def note_added(self, seconds):
+    def record_added_latency(self, seconds):
         self.counted.append(seconds >= 0)
 
-    def note_retry(self, reason):
+    def record_retry(self, reason):
         self.counted.append(reason)
 
-    def note_route(self, age, served):
+    def record_route(self, age, served):
         self.routes.append((age, served))
 
 
--- a/hillfield/proxy/tests/test_byte_budget.py
+++ b/hillfield/proxy/tests/test_byte_budget.py
@@ -9,7 +9,7 @@
 from expression import Ok
 
 from hillfield.events import EventCode
-from hillfield.holding import ByteLimits, make_budget
+from hillfield.holding import ByteLimits, build_budget
 from hillfield.model import RequestPlan
 from hillfield.proxy.tests.gatedtarget import run_pending
 
@@ -40,7 +40,7 @@
 
     def __init__(self, proxy, **limits):
         self.proxy = proxy
-        self.budget = make_budget(ByteLimits(**limits))
+        self.budget = build_budget(ByteLimits(**limits))
         self.peak = 0
         self.received = []
         self.release = asyncio.Event()
@@ -195,7 +195,7 @@
 
 async def test_slow_reader_is_refused_further_requests(proxy):
     answer = b'HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n' % 9_000_000
-    budget = make_budget(ByteLimits(answers=100_000))
+    budget = build_budget(ByteLimits(answers=100_000))
     proxy.plans = AccountPlans()
     await proxy.start(answer + bytes(9_000_000), budget=budget)
     read = b'GET / HTTP/1.1\r\nHost: t\r\nAuthorization: Basic %s\r\n\r\n'
--- a/hillfield/proxy/tests/test_capacity.py
+++ b/hillfield/proxy/tests/test_capacity.py
@@ -14,7 +14,7 @@
     b'HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n'
     b'Hillfield-Outcome: not-run\r\nHillfield-Step: admit\r\n%b\r\n'
 )
-GATE = CallerDialect(tell_room=lambda: '[1,5,2,0,0,0,2]')
+GATE = CallerDialect(report_capacity=lambda: '[1,5,2,0,0,0,2]')
 
 
 def list_steps(proxy):
--- a/hillfield/proxy/tests/test_faults.py
+++ b/hillfield/proxy/tests/test_faults.py
@@ -67,7 +67,7 @@
     assert json.loads(body)['outcome'] == 'unknown'
     observation = proxy.dispatching.only_observation()
     assert isinstance(observation, Broken)
-    assert not observation.relayed
+    assert not observation.forwarded
 
 
 @pytest.mark.parametrize('cut', range(0, len(CHUNKED), 3))
@@ -109,7 +109,7 @@
         await proxy.read(reader)
     observation = proxy.dispatching.only_observation()
     assert isinstance(observation, Broken)
-    assert observation.relayed
+    assert observation.forwarded
     assert EventCode.ANSWER_INTERRUPTED in proxy.codes()
     writer.close()
 
@@ -176,7 +176,7 @@
     assert body == good
     first, second = proxy.dispatching.observations()
     assert first.wrong
-    assert second == Answered(200, relayed=True)
+    assert second == Answered(200, forwarded=True)
 
 
 async def slow_start(head, body, reader, writer):
@@ -192,7 +192,7 @@
     await proxy.start(slow_start, answer_hold=0.01)
     assert (await proxy.ask(GET))[1] == b'abcde'
     assert proxy.dispatching.observations() == [
-        Answered(200, relayed=not prefix),
+        Answered(200, forwarded=not prefix),
     ]
 
 
--- a/hillfield/proxy/tests/test_handover.py
+++ b/hillfield/proxy/tests/test_handover.py
@@ -96,8 +96,8 @@
     proxy.plans.plan = plan
     await proxy.start(
         targets=HopDialect(),
-        sign_within=KEEPALIVE_WITHIN,
-        hand_over_after=after,
+        keepalive_within=KEEPALIVE_WITHIN,
+        two_step_after=after,
     )
     addresses = await asyncio.gather(*(gate.start() for gate in gates))
     proxy.dispatching.targets = addresses
--- a/hillfield/proxy/tests/test_notices.py
+++ b/hillfield/proxy/tests/test_notices.py
@@ -4,17 +4,17 @@
 from tornado.httputil import HTTPHeaders
 
 from hillfield.events import ListJournal
-from hillfield.proxy.notices import AnswerWords, NoticingDialect
-from hillfield.proxy.unread import UnreadHeaders
+from hillfield.proxy.notices import AnswerHeaders, NoticeDialect
+from hillfield.proxy.unknownheaders import UnknownHeaders
 
-HEADER_NAMES = AnswerWords('X-Digest', 'X-Limit', 'X-Leaving')
+HEADER_NAMES = AnswerHeaders('X-Digest', 'X-Limit', 'X-Leaving')
 
 
 def read(status=200, **headers):
-    unread = UnreadHeaders(HEADER_NAMES.list_names(), ListJournal(), print)
+    unread = UnknownHeaders(HEADER_NAMES.list_names(), ListJournal(), print)
     named = {f'X-{name}': text for name, text in headers.items()}
     answer = HTTPHeaders(named)
-    return NoticingDialect(HEADER_NAMES, unread).read_notice(status, answer)
+    return NoticeDialect(HEADER_NAMES, unread).read_notice(status, answer)
 
 
 def test_answer_without_digest_has_no_notice():
@@ -32,14 +32,18 @@
 
 def test_signed_answer_without_headers_sets_no_limit():
     notice = read(Digest='d')
-    assert (notice.rate, notice.leaving, notice.vague) == (None, False, False)
+    assert (notice.rate, notice.leaving, notice.limit_unreadable) == (
+        None,
+        False,
+        False,
+    )
 
 
 def test_lowest_of_two_limits_counts():
     headers = HTTPHeaders({'X-Digest': 'd', 'X-Limit': '7'})
     headers.add('X-Limit', '3')
-    unread = UnreadHeaders(HEADER_NAMES.list_names(), ListJournal(), print)
-    notice = NoticingDialect(HEADER_NAMES, unread).read_notice(200, headers)
+    unread = UnknownHeaders(HEADER_NAMES.list_names(), ListJournal(), print)
+    notice = NoticeDialect(HEADER_NAMES, unread).read_notice(200, headers)
     assert notice is not None
     assert notice.rate == 3
 
@@ -64,16 +68,16 @@
 def test_invalid_limit_has_no_effect(text):
     notice = read(Digest='d', Limit=text)
     assert notice.rate is None
-    assert notice.vague
-    assert 'X-Limit' in notice.unread
-    assert len(notice.unread) < 80
+    assert notice.limit_unreadable
+    assert 'X-Limit' in notice.unreadable
+    assert len(notice.unreadable) < 80
 
 
 @mark.parametrize('text', ('', 'yes', '2', '-1', 'true'))
 def test_invalid_leaving_flag_is_reported_and_ignored(text):
     notice = read(Digest='d', Limit='2', Leaving=text)
     assert not notice.leaving
-    assert notice.unread
+    assert notice.unreadable
     assert notice.rate == 2
 
 
--- a/hillfield/proxy/tests/test_pipelines.py
+++ b/hillfield/proxy/tests/test_pipelines.py
@@ -170,7 +170,7 @@
 
 
 async def test_only_the_next_answer_sends_keepalives(proxy):
-    gate = await start(proxy, sign_after=0.01)
+    gate = await start(proxy, keepalive_after=0.01)
     reader, writer = await open_reads(proxy, b'/a', b'/b')
     interim = await reader.readuntil(b'\r\n\r\n')
     assert interim.startswith(b'HTTP/1.1 102')
--- a/hillfield/proxy/tests/test_planning.py
+++ b/hillfield/proxy/tests/test_planning.py
@@ -6,7 +6,7 @@
 import pytest
 from tornado.httputil import HTTPHeaders, RequestStartLine
 
-from hillfield.holding import Holder, make_budget
+from hillfield.holding import ByteReservation, build_budget
 from hillfield.model import RequestPlan
 from hillfield.proxy.bodies import RequestBody
 from hillfield.proxy.heads import ForwardingContext
@@ -22,7 +22,7 @@
         RequestPlan('till', 'all', 'baker', idempotent, 5, aim=aim),
         ForwardingContext('r', 'k', ''),
         0,
-        Holder(make_budget(), 'baker'),
+        ByteReservation(build_budget(), 'baker'),
     )
 
 
--- a/hillfield/proxy/tests/test_release.py
+++ b/hillfield/proxy/tests/test_release.py
@@ -13,7 +13,7 @@
 ):
     # Each ended request, with its body, stayed referenced until the keepalive
     # check.
-    await proxy.start(sign_within=10)
+    await proxy.start(keepalive_within=10)
     before = {id(attempt) for attempt in list_attempts()}
     await proxy.ask(POST)
     gc.collect()
--- a/hillfield/proxy/tests/test_summaries.py
+++ b/hillfield/proxy/tests/test_summaries.py
@@ -17,14 +17,14 @@
     summary.record_end(None, Declined('full', None))
     summary.record_end(None, Declined('shunned', None, lasting=True))
     summary.record_end(None, ConnectFailed('refused'))
-    summary.record_sent(replace(SEND, urgency=Urgency.INSISTS))
+    summary.record_sent(replace(SEND, urgency=Urgency.ALLOW_QUARANTINED))
     summary.record_end(100.335, Broken('reset'))
     summary.record_end(100.348, Broken('reset'))
     added = replace(PLAN, route_version=7, route_since=97.25)
     assert summary.describe(added, 100.351) == (
         'route r-8 of version 7, 3.1 s old; 0.351 s: declined 2 '
         '(1 withheld), sent 2, not reached 1, first after 0.335 s, '
-        'last urgency insists'
+        'last urgency allow_quarantined'
     )
 
 
