--- a/hillfield/proxy/tests/test_unknown_headers.py
+++ b/hillfield/proxy/tests/test_unknown_headers.py
@@ -5,7 +5,11 @@
 from tornado.httputil import HTTPHeaders
 
 from hillfield.events import EventCode, ListJournal
-from hillfield.proxy.unread import MAX_NAMES, OTHER_NAMES, UnreadHeaders
+from hillfield.proxy.unknownheaders import (
+    MAX_NAMES,
+    OTHER_NAMES,
+    UnknownHeaders,
+)
 
 KNOWN = frozenset(('X-Server-Signature',))
 
@@ -13,7 +17,7 @@
 def test_unknown_header_is_logged_once_and_counted():
     journal = ListJournal()
     counts: Counter[str] = Counter()
-    unread = UnreadHeaders(KNOWN, journal, lambda name: counts.update((name,)))
+    unread = UnknownHeaders(KNOWN, journal, lambda name: counts.update((name,)))
     answer = HTTPHeaders({'X-Server-Signature': 'x', 'x-target-mood': 'low'})
     unread.count_unknown(answer)
     unread.count_unknown(answer)
@@ -27,7 +31,7 @@
 def test_counted_names_are_bounded():
     journal = ListJournal()
     counts: Counter[str] = Counter()
-    unread = UnreadHeaders(KNOWN, journal, lambda name: counts.update((name,)))
+    unread = UnknownHeaders(KNOWN, journal, lambda name: counts.update((name,)))
     for number in range(10 * MAX_NAMES):
         unread.count_unknown(HTTPHeaders({f'X-Own-{number}': '1'}))
     assert len(journal.occurrences) == MAX_NAMES
--- a/hillfield/proxy/unread.py
+++ b/hillfield/proxy/unknownheaders.py
@@ -37,7 +37,7 @@
 )
 
 
-class UnreadHeaders:
+class UnknownHeaders:
     """Counts of unknown headers by name; each name is logged once.
 
     A header by which a target reports something about itself would otherwise
--- a/hillfield/proxy/writing.py
+++ b/hillfield/proxy/writing.py
@@ -6,7 +6,7 @@
 from tornado.http1connection import HTTP1Connection
 from tornado.httputil import ResponseStartLine
 
-from hillfield.holding import Holder
+from hillfield.holding import ByteReservation
 from hillfield.proxy.fields import Fields, render_status
 from hillfield.proxy.slots import ResponseSlot
 from hillfield.proxy.streams import CallerStream
@@ -34,7 +34,7 @@
         self.request_read = False
         self.chunked = False
         self.concurrent = False
-        self.holder: Holder | None = None
+        self.holder: ByteReservation | None = None
         self._stream = stream
         self._slot = slot
 
@@ -106,7 +106,7 @@
     ) -> 'Future[None]':
         """Release the bytes of a part once it has been written."""
         if self.holder is not None:
-            drop = self.holder.drop_answer
+            drop = self.holder.release_answer
             written.add_done_callback(lambda _: drop(size))
         return written
 
--- a/hillfield/quotas/__init__.py
+++ b/hillfield/quotas/__init__.py
@@ -6,16 +6,16 @@
 a request, so a request under the limit is not delayed.
 """
 
-from hillfield.quotas.counting import UseCounter
-from hillfield.quotas.local import LocalUse
+from hillfield.quotas.counting import UsageCounter
+from hillfield.quotas.local import LocalUsage
 from hillfield.quotas.membership import Membership
-from hillfield.quotas.messages import QuotaCodec, ShareRow, UseRow
+from hillfield.quotas.messages import QuotaCodec, ShareRow, UsageRow
 
 __all__ = (
-    'LocalUse',
+    'LocalUsage',
     'Membership',
     'QuotaCodec',
     'ShareRow',
-    'UseCounter',
-    'UseRow',
+    'UsageCounter',
+    'UsageRow',
 )
--- a/hillfield/quotas/counting.py
+++ b/hillfield/quotas/counting.py
@@ -11,7 +11,7 @@
 from typing import Final
 
 from hillfield.configuration.schema.accounts import FleetAccount
-from hillfield.quotas.messages import ShareRow, UseRow
+from hillfield.quotas.messages import ShareRow, UsageRow
 
 # Seconds in which saved tokens may be spent, and a deficit is made up. In a
 # model of 93 nodes at 7.5 times the usual load, the worst window holds 0.93 of
@@ -56,7 +56,7 @@
     share: float = FULL_SHARE
 
 
-class UseCounter:
+class UsageCounter:
     """Count for the accounts of which this node is the counter."""
 
     def __init__(self) -> None:
@@ -75,11 +75,11 @@
             account.name: account for account in accounts if account.rate > 0
         }
 
-    def take(
+    def receive_report(
         self,
         now: float,
         sender: str,
-        rows: tuple[UseRow, ...],
+        rows: tuple[UsageRow, ...],
         fraction: float,
     ) -> tuple[ShareRow, ...]:
         """Count a node's report; return the shares that the node must apply.
@@ -95,7 +95,7 @@
             if answer is not None and answer.share < FULL_SHARE
         )
 
-    def list_news(self, now: float, fraction: float) -> tuple[ShareRow, ...]:
+    def list_updates(self, now: float, fraction: float) -> tuple[ShareRow, ...]:
         """Return the shares that all nodes are to receive now."""
         due = [
             (self._limits[name], count)
@@ -112,7 +112,7 @@
         self,
         now: float,
         sender: str,
-        row: UseRow,
+        row: UsageRow,
         fraction: float,
     ) -> ShareRow | None:
         account = self._limits.get(row.account)
@@ -143,7 +143,7 @@
 def _compute_increase(
     count: _Count,
     sender: str,
-    row: UseRow,
+    row: UsageRow,
 ) -> tuple[int, int]:
     """Return the requests received and passed since the last report."""
     before = count.totals.get(sender)
--- a/hillfield/quotas/local.py
+++ b/hillfield/quotas/local.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from hillfield.configuration.schema.accounts import FleetAccount
-from hillfield.quotas.messages import ShareRow, UseRow
+from hillfield.quotas.messages import ShareRow, UsageRow
 
 # Seconds between two reports of one account by one node. In a model of 93
 # nodes, 0.3 s enforces a limit no better (0.92 against 0.93 of the permitted
@@ -52,7 +52,7 @@
         return self.asked - self.reported_asked > SURGE_FACTOR * self.usual
 
 
-class LocalUse:
+class LocalUsage:
     """Admit requests of accounts, and count them."""
 
     def __init__(self, random: Random) -> None:
@@ -66,7 +66,7 @@
         """Return the number of accounts with counts."""
         return len(self._usage)
 
-    def ask(self, now: float, account: FleetAccount) -> float:
+    def admit(self, now: float, account: FleetAccount) -> float:
         """Return 0 and count the request, or the seconds to wait."""
         if account.rate <= 0:
             return 0
@@ -79,14 +79,14 @@
         usage.passed += 1
         return 0
 
-    def list_due(self, now: float) -> tuple[UseRow, ...]:
+    def list_due(self, now: float) -> tuple[UsageRow, ...]:
         """Return the reports that are due; they count as sent."""
         self._sweep(now)
         due = [name for name in self._pending if self._usage[name].is_due(now)]
         self._pending.difference_update(due)
         return tuple(self._report(now, name) for name in due)
 
-    def take(self, now: float, rows: tuple[ShareRow, ...]) -> None:
+    def apply_shares(self, now: float, rows: tuple[ShareRow, ...]) -> None:
         """Apply the shares that a counter has answered with."""
         for row in rows:
             usage = self._find(row.account)
@@ -102,11 +102,11 @@
             self._usage[name] = usage
         return usage
 
-    def _report(self, now: float, name: str) -> UseRow:
+    def _report(self, now: float, name: str) -> UsageRow:
         usage = self._usage[name]
         fresh = usage.asked - usage.reported_asked
         passed = usage.passed - usage.reported_passed
-        row = UseRow(name, usage.asked, usage.passed, fresh, passed)
+        row = UsageRow(name, usage.asked, usage.passed, fresh, passed)
         seconds = max(REPORT_INTERVAL, now - usage.reported)
         usage.usual += (fresh * REPORT_INTERVAL / seconds - usage.usual) / 2
         usage.usual = max(usage.usual, MINIMUM_USUAL)
--- a/hillfield/quotas/membership.py
+++ b/hillfield/quotas/membership.py
@@ -16,12 +16,12 @@
     """Track which nodes are reachable.
 
     >>> members = Membership()
-    >>> members.follow(0, frozenset(('a', 'b', 'c')), {'c'}.__contains__)
-    >>> members.follow(1, frozenset(('a',)), {'c'}.__contains__)
-    >>> members.part, members.find_counter('till')
+    >>> members.update(0, frozenset(('a', 'b', 'c')), {'c'}.__contains__)
+    >>> members.update(1, frozenset(('a',)), {'c'}.__contains__)
+    >>> members.fraction, members.select_counter('till')
     (0.5, 'a')
-    >>> members.follow(20, frozenset(('a',)), {'c'}.__contains__)
-    >>> members.part
+    >>> members.update(20, frozenset(('a',)), {'c'}.__contains__)
+    >>> members.fraction
     1.0
     """
 
@@ -31,7 +31,7 @@
         self._silent: dict[str, float] = {}
         self._counters: dict[str, str] = {}
 
-    def follow(
+    def update(
         self,
         now: float,
         alive: frozenset[str],
@@ -52,12 +52,12 @@
             }
 
     @property
-    def part(self) -> float:
+    def fraction(self) -> float:
         """Return the fraction of each limit that reachable nodes may use."""
         reachable = len(self._reachable)
         return reachable / (reachable + len(self._silent)) if reachable else 1.0
 
-    def find_counter(self, account: str) -> str:
+    def select_counter(self, account: str) -> str:
         """Return the node that counts an account's requests.
 
         It is the node with the least hash, so that only its own accounts move
--- a/hillfield/quotas/messages.py
+++ b/hillfield/quotas/messages.py
@@ -5,7 +5,7 @@
 from hillfield.loadreports.sealing import SealedCodec
 
 
-class UseRow(Struct, frozen=True, array_like=True):
+class UsageRow(Struct, frozen=True, array_like=True):
     """Report the requests of one account at a node.
 
     `asked` and `passed` count its requests and those let through since the
@@ -32,24 +32,24 @@
     wait: float
 
 
-class Uses(Struct, frozen=True, array_like=True, tag='u'):
+class UsageReport(Struct, frozen=True, array_like=True, tag='u'):
     """Hold the report of one node; `sender` is its name."""
 
     sender: str
-    rows: tuple[UseRow, ...]
+    rows: tuple[UsageRow, ...]
 
 
-class Shares(Struct, frozen=True, array_like=True, tag='s'):
+class ShareUpdate(Struct, frozen=True, array_like=True, tag='s'):
     """Hold the answer of a counting node."""
 
     rows: tuple[ShareRow, ...]
 
 
-class QuotaCodec(SealedCodec[Uses | Shares]):
+class QuotaCodec(SealedCodec[UsageReport | ShareUpdate]):
     """Seal messages with the cluster's key, and open them.
 
     >>> codec = QuotaCodec(b'key')
-    >>> message = Shares((ShareRow('till', 0.5, 1.0),))
+    >>> message = ShareUpdate((ShareRow('till', 0.5, 1.0),))
     >>> codec.open(codec.seal(message)) == message
     True
     >>> codec.open(b'noise') is None
@@ -58,4 +58,4 @@
 
     def __init__(self, key: bytes) -> None:
         """Seal with this key."""
-        super().__init__(key, Uses | Shares)
+        super().__init__(key, UsageReport | ShareUpdate)
--- a/hillfield/quotas/tests/fleet.py
+++ b/hillfield/quotas/tests/fleet.py
@@ -5,7 +5,7 @@
 from random import Random
 
 from hillfield.configuration.schema.accounts import FleetAccount
-from hillfield.quotas import LocalUse, Membership, UseCounter
+from hillfield.quotas import LocalUsage, Membership, UsageCounter
 
 TICK = 0.2
 # Seconds from a report to its answer, on busy hosts.
@@ -19,8 +19,8 @@
     """Hold one node: the requests it admits, and the accounts it counts."""
 
     name: str
-    local: LocalUse
-    counter: UseCounter = field(default_factory=UseCounter)
+    local: LocalUsage
+    counter: UsageCounter = field(default_factory=UsageCounter)
     members: Membership = field(default_factory=Membership)
     phase: float = 0
 
@@ -48,7 +48,7 @@
         """Start nodes without their earlier state."""
         for number in numbers:
             name = f'n{number}'
-            node = Member(name, LocalUse(Random(self.random.random())))
+            node = Member(name, LocalUsage(Random(self.random.random())))
             node.phase = self.random.random() * TICK
             node.counter.adopt(tuple(self.accounts.values()))
             self.nodes[name] = node
@@ -99,7 +99,7 @@
 
     def _ask(self, node, name):
         self.asked[name] += 1
-        if self.nodes[node].local.ask(self.now, self.accounts[name]):
+        if self.nodes[node].local.admit(self.now, self.accounts[name]):
             self.refused[name] += 1
         else:
             self.passed[name].append(self.now)
@@ -112,13 +112,13 @@
         self._update_members(node, alive)
         self._send_updates(node, alive)
         for row in node.local.list_due(self.now):
-            counting = self.nodes[node.members.find_counter(row.account)]
+            counting = self.nodes[node.members.select_counter(row.account)]
             self._update_members(counting, alive)
             if counting is node or not self._is_lost():
                 self._report(node, counting, row)
 
     def _update_members(self, node, alive):
-        node.members.follow(self.now, alive, frozenset().__contains__)
+        node.members.update(self.now, alive, frozenset().__contains__)
 
     def _is_lost(self):
         self.messages += 1
@@ -126,19 +126,21 @@
 
     def _report(self, node, counting, row):
         received_at = self.now + DELAY
-        fraction = counting.members.part
-        shares = counting.counter.take(received_at, node.name, (row,), fraction)
+        fraction = counting.members.fraction
+        shares = counting.counter.receive_report(
+            received_at, node.name, (row,), fraction
+        )
         if shares and not self._is_lost():
-            node.local.take(received_at, shares)
+            node.local.apply_shares(received_at, shares)
 
     def _send_updates(self, node, alive):
         received_at = self.now + DELAY
-        updates = node.counter.list_news(self.now, node.members.part)
+        updates = node.counter.list_updates(self.now, node.members.fraction)
         if updates:
-            node.local.take(self.now, updates)
+            node.local.apply_shares(self.now, updates)
             for name in alive - {node.name}:
                 if not self._is_lost():
-                    self.nodes[name].local.take(received_at, updates)
+                    self.nodes[name].local.apply_shares(received_at, updates)
 
 
 def make_account(name, rate, burst=None):
--- a/hillfield/routing/admission.py
+++ b/hillfield/routing/admission.py
@@ -18,7 +18,7 @@
     describe_expiry,
     refuse,
 )
-from hillfield.routing.requests import Arrival, Refuse, Verdict, Wait
+from hillfield.routing.requests import Arrival, Decision, Refuse, Wait
 from hillfield.routing.service import ServiceState
 from hillfield.routing.waiting import (
     compute_queue_order,
@@ -36,7 +36,7 @@
 )
 
 
-def admit(service: ServiceState, now: float, arrival: Arrival) -> Verdict:
+def admit(service: ServiceState, now: float, arrival: Arrival) -> Decision:
     """Send a new request, queue it or refuse it."""
     service.counters.admitted += 1
     record = service.table.open(arrival)
@@ -53,7 +53,7 @@
     return service.send(now, record, target)
 
 
-def serve_queue(service: ServiceState, now: float) -> tuple[Verdict, ...]:
+def serve_queue(service: ServiceState, now: float) -> tuple[Decision, ...]:
     """Send queued requests to free slots; refuse those that can't succeed."""
     if not len(service.queue):
         return ()
@@ -65,8 +65,8 @@
     return _serve_queue(service, now)
 
 
-def _serve_queue(service: ServiceState, now: float) -> tuple[Verdict, ...]:
-    decisions: list[Verdict] = []
+def _serve_queue(service: ServiceState, now: float) -> tuple[Decision, ...]:
+    decisions: list[Decision] = []
     if now - service.scanned_at >= SCAN_INTERVAL:
         service.scanned_at = now
         decisions.extend(
@@ -115,7 +115,7 @@
 
 def _enqueue(
     service: ServiceState, now: float, record: RequestRecord
-) -> Verdict:
+) -> Decision:
     queue = service.queue
     own = queue.count_waiting(record.arrival.plan.account) + 1
     # `own` counts the account's waiting requests and this one. Accounts are
--- a/hillfield/routing/baseline.py
+++ b/hillfield/routing/baseline.py
@@ -9,17 +9,17 @@
 
 from hillfield.events import EventCode, Occurrence
 from hillfield.model import RequestPlan, Step, Target
+from hillfield.routing.classification import classify_observation
 from hillfield.routing.dispatcher import Dispatcher
 from hillfield.routing.phases import AttemptAction, RequestTrigger
-from hillfield.routing.readings import read_observation
 from hillfield.routing.records import RequestRecord
-from hillfield.routing.refusals import Cause, describe_reading, refuse
+from hillfield.routing.refusals import Cause, describe_failed_attempt, refuse
 from hillfield.routing.requests import (
     Arrival,
+    Decision,
     Done,
     Observation,
     Send,
-    Verdict,
 )
 
 ATTEMPTS: Final = 2
@@ -35,9 +35,9 @@
         nodes: int = 1,
     ) -> None:
         """Replace the announced targets of the service."""
-        self.board.adopt_targets(now, targets)
+        self.detector.adopt_targets(now, targets)
 
-    def admit(self, now: float, arrival: Arrival) -> Verdict:
+    def admit(self, now: float, arrival: Arrival) -> Decision:
         """Send a new request to the next target."""
         return self._send(now, self._service.table.open(arrival))
 
@@ -46,35 +46,37 @@
         now: float,
         attempt: int,
         observation: Observation,
-    ) -> Verdict:
+    ) -> Decision:
         """End an attempt; retry an idempotent request once."""
         found = self._service.table.find(attempt)
         if found is None:
             return Done('')
         record = found.record
-        classification = read_observation(observation)
+        classification = classify_observation(observation)
         action = found.follow(classification.trigger)
         self._service.table.close(found)
-        self.board.observe(now, found.target.id, attempt, observation)
-        if action is AttemptAction.DOUBT:
-            record.follow(RequestTrigger.DOUBT)
+        self.detector.observe(now, found.target.id, attempt, observation)
+        if action is AttemptAction.MAY_HAVE_RUN:
+            record.follow(RequestTrigger.MAY_HAVE_RUN)
         elif action is not AttemptAction.NOT_RUN:
             self._service.table.end(record, RequestTrigger.SETTLE)
             return Done(record.arrival.request)
         if _can_retry(now, record):
             return self._send(now, record)
-        return refuse(self._service, record, describe_reading(classification))
+        return refuse(
+            self._service, record, describe_failed_attempt(classification)
+        )
 
-    def find_hedge_delay(self, plan: RequestPlan) -> None:
+    def compute_hedge_delay(self, plan: RequestPlan) -> None:
         """Return None: no request is hedged."""
 
     def hedge(self, now: float, request: str) -> Send | None:
         """Return None: no request is hedged."""
 
-    def leave(self, now: float, request: str) -> None:
+    def cancel(self, now: float, request: str) -> None:
         """Do nothing: no request is ever queued."""
 
-    def poll(self, now: float) -> tuple[Verdict, ...]:
+    def poll(self, now: float) -> tuple[Decision, ...]:
         """Return nothing: no request is ever queued."""
         return ()
 
@@ -83,10 +85,10 @@
 
     def tick(self, now: float) -> tuple[Occurrence, ...]:
         """Return the events of the targets' health since the last tick."""
-        return self.board.tick(now)
+        return self.detector.tick(now)
 
-    def _send(self, now: float, record: RequestRecord) -> Verdict:
-        candidates = self.board.rotation().candidates
+    def _send(self, now: float, record: RequestRecord) -> Decision:
+        candidates = self.detector.rotation().candidates
         if not candidates:
             cause = Cause(
                 EventCode.SERVICE_WITHOUT_TARGET,
--- a/hillfield/routing/budgets.py
+++ b/hillfield/routing/budgets.py
@@ -21,10 +21,10 @@
     """Hold tokens up to a bound, the burst.
 
     >>> bucket = Bucket(burst=2, tokens=1)
-    >>> bucket.take(), bucket.take()
+    >>> bucket.consume(), bucket.consume()
     (True, False)
     >>> bucket.deposit(1.5)
-    >>> bucket.take()
+    >>> bucket.consume()
     True
     """
 
@@ -39,16 +39,16 @@
         """Add tokens; those beyond the bound are discarded."""
         self.tokens = min(self.burst, self.tokens + tokens)
 
-    def bound(self, burst: float) -> None:
+    def resize(self, burst: float) -> None:
         """Set the bound; tokens beyond it are discarded."""
         self.burst = burst
         self.tokens = min(burst, self.tokens)
 
-    def can_take(self, cost: float = 1) -> bool:
+    def can_consume(self, cost: float = 1) -> bool:
         """Return whether the tokens cover the cost."""
         return self.tokens >= cost
 
-    def take(self, cost: float = 1) -> bool:
+    def consume(self, cost: float = 1) -> bool:
         """Consume the cost if the tokens cover it."""
         if self.tokens < cost:
             return False
@@ -120,7 +120,7 @@
             self._update_burst()
 
     def _update_burst(self) -> None:
-        self.bound(max(self._minimum, self._saving_seconds and self._earned))
+        self.resize(max(self._minimum, self._saving_seconds and self._earned))
 
 
 class RetryBudget:
@@ -166,7 +166,7 @@
         self._shed_cost = policy.shed_cost
         self.hedges = self._choose_hedges(policy)
         self.retries.set_bounds(policy.retry_burst, policy.retry_saving)
-        self.sheds.bound(policy.shed_burst)
+        self.sheds.resize(policy.shed_burst)
 
     def consume_retry(self, account: str, shed: bool) -> bool:
         """Consume a retry from the service's and the account's budget."""
@@ -176,18 +176,18 @@
         service_bucket = self.sheds if cost < 1 else self.retries
         bucket = self._account_bucket(account)
         bucket.decay(self._now)
-        if not (service_bucket.can_take() and bucket.can_take(cost)):
+        if not (service_bucket.can_consume() and bucket.can_consume(cost)):
             return False
-        service_bucket.take()
-        return bucket.take(cost)
+        service_bucket.consume()
+        return bucket.consume(cost)
 
     def consume_unsent(self) -> bool:
         """Consume a retry of a request that could not be sent."""
-        return self.unsent.take()
+        return self.unsent.consume()
 
     def consume_hedge(self) -> bool:
         """Consume a hedge from the service's budget."""
-        return self.hedges.take()
+        return self.hedges.consume()
 
     def _choose_hedges(self, policy: ServicePolicy) -> Bucket:
         shared = policy.hedge_budget is None
@@ -229,6 +229,6 @@
         self._buckets.move_to_end(account)
         if len(self._buckets) > ACCOUNTS_KEPT:
             self._buckets.popitem(last=False)
-        if bucket.take():
+        if bucket.consume():
             return 0
         return (1 - bucket.tokens) / rate
--- a/hillfield/routing/capacity.py
+++ b/hillfield/routing/capacity.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-from hillfield.loadreports.reports import Held, LoadReport
+from hillfield.loadreports.reports import LoadReport, WithheldWork
 from hillfield.model import RequestPlan, TargetId
 
 # Seconds for which a report counts; gates repeat it after 10 s at the latest.
@@ -23,7 +23,7 @@
     number: int
     free: int
     waiting: int
-    withheld: Held
+    withheld: WithheldWork
     received_at: float
     wait: float = 0
     usable: int = 0
@@ -113,7 +113,7 @@
 
     def list_quarantined(self, now: float) -> tuple[TargetId, ...]:
         """Return the targets whose gates withhold all usual work."""
-        return self._list_at_least(now, Held.USUAL)
+        return self._list_at_least(now, WithheldWork.USUAL)
 
     def list_awaiting_trial(self, now: float) -> frozenset[TargetId]:
         """Return the targets whose gates wait for a trial."""
@@ -121,7 +121,7 @@
         return frozenset(
             target
             for target, capacity in self._capacities.items()
-            if capacity.withheld is Held.USUAL
+            if capacity.withheld is WithheldWork.USUAL
         )
 
     def list_withholding(
@@ -134,10 +134,12 @@
 
         `trial` says that the request may be a trial of an unhealthy target.
         """
-        least = Held.USUAL if plan.idempotent else Held.ONCE
-        return self._list_at_least(now, Held.ALL if trial else least)
+        least = WithheldWork.USUAL if plan.idempotent else WithheldWork.ONCE
+        return self._list_at_least(now, WithheldWork.ALL if trial else least)
 
-    def _list_at_least(self, now: float, least: Held) -> tuple[TargetId, ...]:
+    def _list_at_least(
+        self, now: float, least: WithheldWork
+    ) -> tuple[TargetId, ...]:
         self._drop_expired(now)
         return tuple(
             target
--- a/hillfield/routing/roomviews.py
+++ b/hillfield/routing/capacityviews.py
@@ -7,7 +7,7 @@
 from hillfield.routing.service import ServiceState
 
 
-class RoomExplanation(Struct, frozen=True):
+class CapacityExplanation(Struct, frozen=True):
     """Show one target's capacity; `age` is the seconds since it was reported.
 
     `free` and `waiting` count slots and requests at its gate, `held` names the
@@ -28,7 +28,7 @@
 
 def explain_capacities(
     service: ServiceState, now: float
-) -> tuple[RoomExplanation, ...]:
+) -> tuple[CapacityExplanation, ...]:
     """Return the capacity of each target whose gate has reported it."""
     service.selector.adopt(service.detector.rotation())
     service.capacities.has_reports(now)
@@ -45,9 +45,9 @@
 
 def _explain(
     now: float, load: TargetLoad, capacity: ReportedCapacity
-) -> RoomExplanation:
+) -> CapacityExplanation:
     target = load.target
-    return RoomExplanation(
+    return CapacityExplanation(
         str(target.id),
         target.locality.failure_domain,
         target.slots,
--- a/hillfield/routing/readings.py
+++ b/hillfield/routing/classification.py
@@ -45,12 +45,12 @@
 
 
 @singledispatch
-def read_observation(observation: Observation) -> Classification:
+def classify_observation(observation: Observation) -> Classification:
     """Return what an observation means."""
     raise TypeError(f'unknown observation: {type(observation).__name__}')
 
 
-@read_observation.register
+@classify_observation.register
 def _connect_failed(observation: ConnectFailed) -> Classification:
     return Classification(
         AttemptTrigger.CONNECT_FAILED,
@@ -61,7 +61,7 @@
     )
 
 
-@read_observation.register
+@classify_observation.register
 def _nothing_written(observation: NothingWritten) -> Classification:
     return Classification(
         AttemptTrigger.NOTHING_WRITTEN,
@@ -72,7 +72,7 @@
     )
 
 
-@read_observation.register
+@classify_observation.register
 def _declined(observation: Declined) -> Classification:
     return Classification(
         AttemptTrigger.DECLINED,
@@ -85,7 +85,7 @@
     )
 
 
-@read_observation.register
+@classify_observation.register
 def _shed(observation: Shed) -> Classification:
     return Classification(
         AttemptTrigger.SHED,
@@ -97,18 +97,18 @@
     )
 
 
-@read_observation.register
+@classify_observation.register
 def _broken(observation: Broken) -> Classification:
     trigger = AttemptTrigger.BROKEN
-    if observation.relayed:
+    if observation.forwarded:
         trigger = AttemptTrigger.RELAYED
     return Classification(trigger, detail=observation.detail)
 
 
-@read_observation.register
+@classify_observation.register
 def _timed_out(observation: TimedOut) -> Classification:
     trigger = AttemptTrigger.TIMED_OUT
-    if observation.relayed:
+    if observation.forwarded:
         trigger = AttemptTrigger.RELAYED
     return Classification(
         trigger,
@@ -118,12 +118,12 @@
     )
 
 
-@read_observation.register
+@classify_observation.register
 def _answered(observation: Answered) -> Classification:
     if not observation.wrong:
         return Classification(AttemptTrigger.ANSWERED, failed=False)
     trigger = AttemptTrigger.WRONG
-    if observation.relayed:
+    if observation.forwarded:
         trigger = AttemptTrigger.RELAYED
     return Classification(
         trigger,
@@ -132,6 +132,6 @@
     )
 
 
-@read_observation.register
+@classify_observation.register
 def _caller_gone(observation: CallerGone) -> Classification:
     return Classification(AttemptTrigger.GONE, failed=False)
--- a/hillfield/routing/dispatcher.py
+++ b/hillfield/routing/dispatcher.py
@@ -2,7 +2,7 @@
 
 from random import Random
 
-from hillfield.detection.boards import Board
+from hillfield.detection.detector import Detector
 from hillfield.events import EventCode, Occurrence
 from hillfield.loadreports.reports import LoadReport
 from hillfield.model import Locality, ServicePolicy, Target
@@ -13,9 +13,9 @@
 from hillfield.routing.recovery import finish, serve_retries
 from hillfield.routing.requests import (
     Arrival,
+    Decision,
     Done,
     Observation,
-    Verdict,
 )
 from hillfield.routing.service import open_service
 from hillfield.routing.subsets import choose_subset, compute_connection_share
@@ -28,7 +28,7 @@
         self,
         policy: ServicePolicy,
         locality: Locality,
-        detector: Board,
+        detector: Detector,
         random: Random,
     ) -> None:
         """Start without targets; `random` is seeded by the caller."""
@@ -41,7 +41,7 @@
         """Use a new policy for all further decisions."""
         self._service.policy = policy
         self._service.budget.adopt(policy)
-        self.board.adopt_policy(now, policy)
+        self.detector.adopt_policy(now, policy)
 
     def adopt_targets(
         self,
@@ -54,7 +54,7 @@
         `nodes` is how many nodes share the targets' connection limits.
         """
         subset = choose_subset(targets, self._locality, nodes)
-        self.board.adopt_targets(now, subset)
+        self.detector.adopt_targets(now, subset)
         self._service.selector.adopt_allowances(
             {
                 target.id: compute_connection_share(
@@ -67,7 +67,7 @@
             },
         )
 
-    def admit(self, now: float, arrival: Arrival) -> Verdict:
+    def admit(self, now: float, arrival: Arrival) -> Decision:
         """Decide on a new request: send it, queue it or refuse it."""
         return admit(self._service, now, arrival)
 
@@ -76,7 +76,7 @@
         now: float,
         attempt: int,
         observation: Observation,
-    ) -> Verdict:
+    ) -> Decision:
         """End an attempt and decide how its request continues.
 
         `Wait` means that the next decision on the request follows from `poll`
@@ -88,11 +88,11 @@
             return Done('')
         return finish(self._service, now, found, observation)
 
-    def leave(self, now: float, request: str) -> None:
+    def cancel(self, now: float, request: str) -> None:
         """Drop a queued request whose caller has disconnected."""
         self._service.cancel(request)
 
-    def poll(self, now: float) -> tuple[Verdict, ...]:
+    def poll(self, now: float) -> tuple[Decision, ...]:
         """Return decisions on queued requests; call after finish, in ticks."""
         service = self._service
         if not (service.count_waiting() or service.pending_refusals):
@@ -124,7 +124,7 @@
 
     def tick(self, now: float) -> tuple[Occurrence, ...]:
         """Return the events since the last tick; call every 0.1 s."""
-        occurrences = list(self.board.tick(now))
+        occurrences = list(self.detector.tick(now))
         self._service.budget.advance(now, self._service.policy)
         name = self._service.policy.service
         overloaded = self._service.count_waiting() > 0
@@ -134,7 +134,7 @@
             if overloaded:
                 code = EventCode.OVERLOAD_STARTED
             occurrences.append(Occurrence(code, service=name))
-        starved = not self._service.budget.retries.can_take()
+        starved = not self._service.budget.retries.can_consume()
         if starved and not self._retries_exhausted:
             code = EventCode.RETRY_BUDGET_EMPTY
             occurrences.append(Occurrence(code, service=name))
--- a/hillfield/routing/durations.py
+++ b/hillfield/routing/durations.py
@@ -37,7 +37,7 @@
     `log_mean` and `log_variance` are the mean and variance of the logarithm.
 
     >>> short = DurationEstimate(log(0.1), 0.25)
-    >>> round(short.find_quantile(1.28), 2), round(short.survive(0.19), 1)
+    >>> round(short.find_quantile(1.28), 2), round(short.share_above(0.19), 1)
     (0.19, 0.1)
     """
 
@@ -45,7 +45,7 @@
     log_variance: float
     count: int = ASSUMED_COUNT
 
-    def note(self, seconds: float) -> None:
+    def record(self, seconds: float) -> None:
         """Add a measured duration."""
         self.count = min(MAXIMUM_COUNT, self.count + 1)
         gain = 1 / self.count
@@ -58,7 +58,7 @@
         """Return the duration that lies this far above the median."""
         return exp(self.log_mean + deviations * self._spread())
 
-    def survive(self, seconds: float) -> float:
+    def share_above(self, seconds: float) -> float:
         """Return the share of requests that take longer than `seconds`."""
         surplus = log(max(LEAST_SECONDS, seconds)) - self.log_mean
         return erfc(surplus / self._spread() / sqrt(2)) / 2
@@ -67,7 +67,7 @@
         return max(LEAST_SPREAD, sqrt(self.log_variance))
 
 
-class Durations:
+class RouteDurations:
     """Hold the duration of each route, dropping the least recently used."""
 
     def __init__(self) -> None:
@@ -84,7 +84,7 @@
             return False
         return self.find(plan).find_quantile(0) <= QUICK_SHARE * mean
 
-    def knows(self, plan: RequestPlan) -> bool:
+    def is_measured(self, plan: RequestPlan) -> bool:
         """Return whether the plan's route has a measurement."""
         found = self._routes.get(plan.route)
         return found is not None and found.count > ASSUMED_COUNT
--- a/hillfield/routing/explanations.py
+++ b/hillfield/routing/explanations.py
@@ -3,8 +3,11 @@
 from msgspec import Struct
 
 from hillfield.detection.explanations import TargetExplanation
+from hillfield.routing.capacityviews import (
+    CapacityExplanation,
+    explain_capacities,
+)
 from hillfield.routing.loads import TargetLoad
-from hillfield.routing.roomviews import RoomExplanation, explain_capacities
 from hillfield.routing.service import ServiceState
 
 
@@ -38,7 +41,7 @@
     strays: int
     loads: tuple[LoadExplanation, ...]
     health: tuple[TargetExplanation, ...]
-    rooms: tuple[RoomExplanation, ...] = ()
+    rooms: tuple[CapacityExplanation, ...] = ()
 
 
 def explain_service(service: ServiceState, now: float) -> RoutingExplanation:
--- a/hillfield/routing/feedback.py
+++ b/hillfield/routing/feedback.py
@@ -3,9 +3,9 @@
 from typing import Final
 
 from hillfield.loadreports.reports import LoadReport
+from hillfield.routing.classification import Classification
 from hillfield.routing.declining import Declined
 from hillfield.routing.phases import AttemptTrigger
-from hillfield.routing.readings import Classification
 from hillfield.routing.records import AttemptRecord
 from hillfield.routing.requests import (
     Answered,
@@ -80,7 +80,7 @@
     """
     if classification.trigger in TIMED_TRIGGERS:
         plan = attempt.record.arrival.plan
-        service.durations.find(plan).note(now - attempt.started)
+        service.durations.find(plan).record(now - attempt.started)
 
 
 def _should_pause(
--- a/hillfield/routing/hedging.py
+++ b/hillfield/routing/hedging.py
@@ -51,7 +51,7 @@
         _can_hedge(record)
         and now + service.estimate_retry(record) < record.arrival.expires
         and not service.count_waiting()
-        and service.budget.hedges.can_take()
+        and service.budget.hedges.can_consume()
     )
     target = select_hedge_target(service, now, record) if possible else None
     if target is None:
@@ -85,7 +85,7 @@
 class Hedging(AttemptProgress):
     """Decide when a request is hedged, and at which target."""
 
-    def find_hedge_delay(self, plan: RequestPlan) -> float | None:
+    def compute_hedge_delay(self, plan: RequestPlan) -> float | None:
         """Return the seconds after which to hedge an attempt; None: never."""
         return compute_delay(self._service, plan)
 
--- a/hillfield/routing/loads.py
+++ b/hillfield/routing/loads.py
@@ -33,7 +33,7 @@
     deviation: float = 0
     updated: float = 0
 
-    def note(self, now: float, seconds: float) -> None:
+    def record(self, now: float, seconds: float) -> None:
         """Add a measured latency."""
         if self.mean:
             difference = seconds - self.mean
@@ -88,7 +88,7 @@
         target = candidate.target
         self.target = target
         self.share = candidate.share
-        self.watched = candidate.watched
+        self.watched = candidate.keeps_share
         slots = max(1, ceil(target.slots * self.share))
         self.limit = max(1, min(slots, allowance))
         self.reported_load = (
--- a/hillfield/routing/measurement.py
+++ b/hillfield/routing/measurement.py
@@ -11,12 +11,17 @@
 
 from msgspec.structs import replace
 
-from hillfield.detection.baseline import BaselineBoard
-from hillfield.detection.board import HealthBoard
+from hillfield.detection.baseline import BaselineDetector
+from hillfield.detection.healthdetector import HealthDetector
 from hillfield.model import RequestPlan, ServicePolicy
 from hillfield.routing.admission import admit, serve_queue
 from hillfield.routing.baseline import BaselineDispatcher
-from hillfield.routing.bench import (
+from hillfield.routing.dispatcher import Dispatcher
+from hillfield.routing.phases import AttemptTrigger
+from hillfield.routing.recovery import finish
+from hillfield.routing.requests import Arrival, Send
+from hillfield.routing.service import ServiceState, open_service
+from hillfield.routing.simulation import (
     ANSWER,
     LOCALITY,
     SERVICE,
@@ -25,11 +30,6 @@
     Tally,
     make_targets,
 )
-from hillfield.routing.dispatcher import Dispatcher
-from hillfield.routing.phases import AttemptTrigger
-from hillfield.routing.recovery import finish
-from hillfield.routing.requests import Arrival, Send
-from hillfield.routing.service import ServiceState, open_service
 
 SIZES: Final = (30, 100, 300, 1000)
 SLOTS: Final = 4
@@ -59,7 +59,7 @@
     targets are in rotation and a quarter of their slots stay busy.
     """
     policy = ServicePolicy(SERVICE)
-    detector = HealthBoard(policy, LOCALITY)
+    detector = HealthDetector(policy, LOCALITY)
     detector.adopt_targets(0, make_targets(targets, SLOTS))
     service = open_service(policy, LOCALITY, detector, Random(1))
     plan = RequestPlan(SERVICE, 'r', 'account', idempotent=True, deadline=1)
@@ -72,8 +72,8 @@
 def measure_setting(setting: Setting, baseline: bool) -> Tally:
     """Run a setting with the usual dispatcher or with the baseline's."""
     if baseline:
-        return Simulation(setting, BaselineBoard, BaselineDispatcher).run()
-    return Simulation(setting, HealthBoard, Dispatcher).run()
+        return Simulation(setting, BaselineDetector, BaselineDispatcher).run()
+    return Simulation(setting, HealthDetector, Dispatcher).run()
 
 
 def measure_overload(
@@ -146,7 +146,7 @@
         if isinstance(decision, Send):
             attempt = service.table.attempts[decision.attempt]
             attempt.follow(AttemptTrigger.WRITE)
-            service.detector.note_started(0, decision.target, decision.attempt)
+            service.detector.record_start(0, decision.target, decision.attempt)
             finish(service, 0, attempt, ANSWER)
         serve_queue(service, 0)
     return (perf_counter() - start) / DECISIONS * MICROSECONDS
--- a/hillfield/routing/notices.py
+++ b/hillfield/routing/notices.py
@@ -5,7 +5,7 @@
 
 from msgspec import Struct
 
-from hillfield.model import Address, LifeNotice
+from hillfield.model import Address, IncarnationNotice
 
 # Seconds for which a notice is passed on with requests. A target that leaves
 # keeps serving for seconds, sometimes many. A rate limit counts at a restarted
@@ -18,7 +18,7 @@
 class _ReceivedNotice(Struct, frozen=True):
     """Hold a notice and when it was received."""
 
-    notice: LifeNotice
+    notice: IncarnationNotice
     received_at: float
 
 
@@ -30,7 +30,7 @@
     that this node sends there return the notice to it.
 
     >>> notices = ReceivedNotices()
-    >>> notices.record(0, Address('10.0.0.1', 80), LifeNotice('i-1', 2.5))
+    >>> notices.record(0, Address('10.0.0.1', 80), IncarnationNotice('i-1', 2.5))
     >>> notices.find(1, Address('10.0.0.1', 80)).rate
     2.5
     >>> notices.find(1000, Address('10.0.0.1', 80)) is None
@@ -41,14 +41,16 @@
         """Start without notices."""
         self._notices: OrderedDict[Address, _ReceivedNotice] = OrderedDict()
 
-    def record(self, now: float, address: Address, notice: LifeNotice) -> None:
+    def record(
+        self, now: float, address: Address, notice: IncarnationNotice
+    ) -> None:
         """Store a notice that a gate has reported."""
         self._notices[address] = _ReceivedNotice(notice, now)
         self._notices.move_to_end(address)
         if len(self._notices) > MAXIMUM_NOTICES:
             self._notices.popitem(last=False)
 
-    def find(self, now: float, address: Address) -> LifeNotice | None:
+    def find(self, now: float, address: Address) -> IncarnationNotice | None:
         """Return the notice of the target there; None if none is recent."""
         received = self._notices.get(address)
         if received is None:
--- a/hillfield/routing/phases.py
+++ b/hillfield/routing/phases.py
@@ -38,7 +38,7 @@
 
     NONE = 'none'
     NOT_RUN = 'not-run'
-    DOUBT = 'doubt'
+    MAY_HAVE_RUN = 'doubt'
     SETTLE = 'settle'
     WITHDRAW = 'withdraw'
     ABANDON = 'abandon'
@@ -60,7 +60,7 @@
 
     SEND = 'send'
     QUEUE = 'queue'
-    DOUBT = 'doubt'
+    MAY_HAVE_RUN = 'doubt'
     REFUSE = 'refuse'
     SETTLE = 'settle'
     LEAVE = 'leave'
--- a/hillfield/routing/ports.py
+++ b/hillfield/routing/ports.py
@@ -4,22 +4,22 @@
 
 from hillfield.loadreports.reports import LoadReport
 from hillfield.model import RequestPlan, TargetNotice
-from hillfield.routing.requests import Arrival, Observation, Send, Verdict
+from hillfield.routing.requests import Arrival, Decision, Observation, Send
 
 
 class Dispatching(Protocol):
     """Make the decisions for one service; `now` is in monotonic seconds."""
 
-    def admit(self, now: float, arrival: Arrival) -> Verdict:
+    def admit(self, now: float, arrival: Arrival) -> Decision:
         """Decide on a new request: send it, queue it or refuse it."""
 
-    def note_written(self, now: float, attempt: int) -> None:
+    def record_written(self, now: float, attempt: int) -> None:
         """Record that the attempt's first byte is about to be written."""
 
-    def note_head(self, now: float, attempt: int) -> None:
+    def record_head(self, now: float, attempt: int) -> None:
         """Record that the head of the attempt's answer has arrived."""
 
-    def note_notice(
+    def record_notice(
         self,
         now: float,
         attempt: int,
@@ -30,7 +30,7 @@
     def adopt_report(self, now: float, report: LoadReport) -> None:
         """Apply the free capacity of a target that its gate reported."""
 
-    def note_silent(self, now: float, attempt: int) -> None:
+    def record_silence(self, now: float, attempt: int) -> None:
         """Record that no keepalive for the attempt arrived in time."""
 
     def finish(
@@ -38,19 +38,19 @@
         now: float,
         attempt: int,
         observation: Observation,
-    ) -> Verdict:
+    ) -> Decision:
         """End an attempt and decide how its request continues."""
 
-    def find_hedge_delay(self, plan: RequestPlan) -> float | None:
+    def compute_hedge_delay(self, plan: RequestPlan) -> float | None:
         """Return the seconds after which to hedge an attempt; None: never."""
 
     def hedge(self, now: float, request: str) -> Send | None:
         """Start a second attempt of a slow request if the budget allows it."""
 
-    def leave(self, now: float, request: str) -> None:
+    def cancel(self, now: float, request: str) -> None:
         """Drop a queued request whose caller has disconnected."""
 
-    def poll(self, now: float) -> tuple[Verdict, ...]:
+    def poll(self, now: float) -> tuple[Decision, ...]:
         """Return decisions on queued requests; call after finish, in ticks."""
 
     def next_due(self) -> float | None:
--- a/hillfield/routing/progress.py
+++ b/hillfield/routing/progress.py
@@ -11,24 +11,24 @@
 
     def __init__(self, service: ServiceState) -> None:
         """Record the attempts of this service."""
-        self.board = service.detector
+        self.detector = service.detector
         self._service = service
 
-    def note_written(self, now: float, attempt: int) -> None:
+    def record_written(self, now: float, attempt: int) -> None:
         """Record that the attempt's first byte is about to be written."""
         found = self._service.table.find(attempt)
         if found is not None:
             found.follow(AttemptTrigger.WRITE)
-            self.board.note_started(now, found.target.id, attempt)
+            self.detector.record_start(now, found.target.id, attempt)
 
-    def note_silent(self, now: float, attempt: int) -> None:
+    def record_silence(self, now: float, attempt: int) -> None:
         """Record that no keepalive for the attempt arrived in time."""
         found = self._service.table.find(attempt)
         if found is not None:
             lost = NothingWritten('no keepalive arrived in time')
-            self.board.observe(now, found.target.id, attempt, lost)
+            self.detector.observe(now, found.target.id, attempt, lost)
 
-    def note_notice(
+    def record_notice(
         self,
         now: float,
         attempt: int,
@@ -36,9 +36,9 @@
     ) -> None:
         """Ignore the notice: the target's gate applies it."""
 
-    def note_head(self, now: float, attempt: int) -> None:
+    def record_head(self, now: float, attempt: int) -> None:
         """Record that the head of the attempt's answer has arrived."""
         found = self._service.table.find(attempt)
         if found is not None:
             found.follow(AttemptTrigger.HEAD)
-            self.board.note_head(now, found.target.id, attempt)
+            self.detector.record_head(now, found.target.id, attempt)
--- a/hillfield/routing/ratelimits.py
+++ b/hillfield/routing/ratelimits.py
@@ -9,7 +9,7 @@
 from typing import Final
 
 from hillfield.events import EventCode
-from hillfield.loadreports.reports import Held
+from hillfield.loadreports.reports import WithheldWork
 from hillfield.model import Step
 from hillfield.routing.capacity import ReportedCapacity
 from hillfield.routing.records import RequestRecord
@@ -64,7 +64,7 @@
         if capacity is None or not _is_exhausted(capacity):
             return None
         if (
-            capacity.withheld < Held.USUAL
+            capacity.withheld < WithheldWork.USUAL
             and now - capacity.received_at <= EXHAUSTION_LIFETIME
         ):
             waits.append(capacity.wait)
@@ -73,5 +73,5 @@
 
 def _is_exhausted(capacity: ReportedCapacity) -> bool:
     """Return whether a target's limit, or its gate, admits no request now."""
-    bound = capacity.rate is not None or capacity.withheld >= Held.USUAL
+    bound = capacity.rate is not None or capacity.withheld >= WithheldWork.USUAL
     return bound and capacity.free <= 0
--- a/hillfield/routing/records.py
+++ b/hillfield/routing/records.py
@@ -3,8 +3,9 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-from hillfield.charts import Refusal
+from hillfield.charts import MissingTransition
 from hillfield.model import Target, TargetId
+from hillfield.routing.classification import Classification
 from hillfield.routing.phases import (
     ATTEMPT_CHART,
     REQUEST_CHART,
@@ -16,7 +17,6 @@
     RequestTrigger,
 )
 from hillfield.routing.queueorder import QueueOrder
-from hillfield.routing.readings import Classification
 from hillfield.routing.requests import Arrival, Send
 
 MAXIMUM_UNSENT: Final = 6
@@ -53,7 +53,7 @@
     def follow(self, trigger: RequestTrigger) -> RequestAction | None:
         """Apply a trigger to the chart; return None if it has no such step."""
         step = REQUEST_CHART.follow(self.phase, trigger)
-        if isinstance(step, Refusal):
+        if isinstance(step, MissingTransition):
             return None
         self.phase = step.state
         return step.action
@@ -103,7 +103,7 @@
 class AttemptRecord:
     """Track one attempt; `hung` says that it was counted as overdue.
 
-    `weight` is what its age has added to its target's health score, `missed`
+    `age_weight` is what its age has added to its target's health score, `missed_seconds`
     the seconds in which this node read no answers; they are left out of the
     attempt's age.
     """
@@ -114,23 +114,23 @@
     started: float
     phase: AttemptPhase = ATTEMPT_CHART.initial
     hung: bool = False
-    weight: float = 0
-    missed: float = 0
+    age_weight: float = 0
+    missed_seconds: float = 0
 
-    def find_age(self, now: float) -> float:
+    def compute_age(self, now: float) -> float:
         """Return the attempt's age in seconds, without missed time."""
-        return now - self.started - self.missed
+        return now - self.started - self.missed_seconds
 
     def follow(self, trigger: AttemptTrigger) -> AttemptAction:
         """Apply a trigger to the chart and return the step's action."""
         step = ATTEMPT_CHART.follow(self.phase, trigger)
-        if isinstance(step, Refusal):
+        if isinstance(step, MissingTransition):
             return AttemptAction.NONE
         self.phase = step.state
         return step.action
 
 
-class Ledger:
+class RequestTable:
     """Hold requests and attempts in flight; count late observations."""
 
     def __init__(self) -> None:
@@ -170,10 +170,10 @@
             self.strays += 1
         return attempt
 
-    def excuse(self, now: float, seconds: float) -> None:
+    def discount_pause(self, now: float, seconds: float) -> None:
         """Leave the last seconds out of the age of every attempt."""
         for attempt in self.attempts.values():
-            attempt.missed += min(seconds, attempt.find_age(now))
+            attempt.missed_seconds += min(seconds, attempt.compute_age(now))
 
     def close(self, attempt: AttemptRecord) -> None:
         """Remove an attempt that has ended."""
--- a/hillfield/routing/recovery.py
+++ b/hillfield/routing/recovery.py
@@ -5,6 +5,10 @@
 from msgspec.structs import replace
 
 from hillfield.model import TargetId
+from hillfield.routing.classification import (
+    Classification,
+    classify_observation,
+)
 from hillfield.routing.feedback import record_end
 from hillfield.routing.hedging import replace_declined
 from hillfield.routing.phases import (
@@ -16,28 +20,29 @@
 from hillfield.routing.placement import select_freed_target
 from hillfield.routing.queues import get_queue_order
 from hillfield.routing.ratelimits import find_rate_limit_cause
-from hillfield.routing.readings import Classification, read_observation
 from hillfield.routing.records import AttemptRecord, RequestRecord
 from hillfield.routing.refusals import (
     describe_expiry,
-    describe_reading,
+    describe_failed_attempt,
     refuse,
 )
-from hillfield.routing.repeats import UNSENT_TRIGGERS, charge_retry
 from hillfield.routing.requests import (
+    Decision,
     Done,
     Observation,
     Refuse,
-    Verdict,
     Wait,
 )
 from hillfield.routing.reselection import choose_again
+from hillfield.routing.retries import UNSENT_TRIGGERS, charge_retry
 from hillfield.routing.service import ServiceState
 from hillfield.routing.waiting import is_stale
 
 # Mean latencies for which the last attempt after a shed waits for a freed slot.
 FREED_SLOT_WAIT: Final = 2.0
-MAY_HAVE_RUN: Final = frozenset((AttemptAction.DOUBT, AttemptAction.ABANDON))
+MAY_HAVE_RUN: Final = frozenset(
+    (AttemptAction.MAY_HAVE_RUN, AttemptAction.ABANDON)
+)
 
 
 def finish(
@@ -45,10 +50,10 @@
     now: float,
     attempt: AttemptRecord,
     observation: Observation,
-) -> Verdict:
+) -> Decision:
     """End an attempt and decide how its request continues."""
     record = attempt.record
-    classification = read_observation(observation)
+    classification = classify_observation(observation)
     written = attempt.phase is not AttemptPhase.CONNECTING
     action = attempt.follow(classification.trigger)
     service.table.close(attempt)
@@ -59,7 +64,7 @@
     if record.has_ended():
         return Done(record.arrival.request)
     if action in MAY_HAVE_RUN:
-        record.follow(RequestTrigger.DOUBT)
+        record.follow(RequestTrigger.MAY_HAVE_RUN)
     if action is AttemptAction.SETTLE:
         return _settle(service, record, classification)
     if classification.trigger is AttemptTrigger.GONE:
@@ -78,7 +83,7 @@
     now: float,
     record: RequestRecord,
     classification: Classification,
-) -> Verdict:
+) -> Decision:
     if record.live:
         # The other attempt may still be answered.
         again = None
@@ -86,7 +91,7 @@
             again = replace_declined(service, now, record)
         return again or Wait(record.arrival.request)
     if record.any_written and not record.arrival.replayable:
-        return refuse(service, record, describe_reading(classification))
+        return refuse(service, record, describe_failed_attempt(classification))
     return recover(service, now, record, classification)
 
 
@@ -95,7 +100,7 @@
     now: float,
     record: RequestRecord,
     classification: Classification,
-) -> Verdict:
+) -> Decision:
     """Start the next attempt, let it wait for a slot, or refuse the request."""
     excluded = _find_excluded(service, record, classification)
     if excluded is None:
@@ -117,9 +122,9 @@
     return Wait(record.arrival.request)
 
 
-def serve_retries(service: ServiceState, now: float) -> tuple[Verdict, ...]:
+def serve_retries(service: ServiceState, now: float) -> tuple[Decision, ...]:
     """Send waiting retries to free slots, in queue order."""
-    decisions: list[Verdict] = []
+    decisions: list[Decision] = []
     waiting = sorted(service.waiting_retries, key=get_queue_order)
     service.waiting_retries.clear()
     for record in waiting:
@@ -137,7 +142,7 @@
     classification: Classification,
     reason: str,
 ) -> Refuse:
-    cause = describe_reading(classification)
+    cause = describe_failed_attempt(classification)
     detailed = replace(cause, detail=f'{cause.detail}, {reason}')
     return refuse(service, record, detailed)
 
@@ -154,7 +159,7 @@
     service: ServiceState,
     now: float,
     record: RequestRecord,
-) -> Verdict | None:
+) -> Decision | None:
     limit_cause = find_rate_limit_cause(service, now, record)
     if limit_cause is not None:
         return refuse(service, record, limit_cause)
@@ -166,7 +171,7 @@
         return refuse(service, record, describe_expiry())
     excluded = _find_excluded(service, record, classification)
     if excluded is None:
-        return refuse(service, record, describe_reading(classification))
+        return refuse(service, record, describe_failed_attempt(classification))
     longest = FREED_SLOT_WAIT * service.selector.latency.mean
     if (
         _awaits_freed_slot(record, classification)
@@ -201,7 +206,7 @@
     service: ServiceState,
     record: RequestRecord,
     classification: Classification,
-) -> Verdict:
+) -> Decision:
     service.table.end(record, RequestTrigger.SETTLE)
     if classification.trigger is AttemptTrigger.ANSWERED:
         account = record.arrival.plan.account
@@ -209,7 +214,7 @@
     return Done(record.arrival.request)
 
 
-def _finish_cancelled(service: ServiceState, record: RequestRecord) -> Verdict:
+def _finish_cancelled(service: ServiceState, record: RequestRecord) -> Decision:
     if not record.live:
         service.table.end(record, RequestTrigger.LEAVE)
     return Done(record.arrival.request)
--- a/hillfield/routing/refusals.py
+++ b/hillfield/routing/refusals.py
@@ -7,13 +7,13 @@
 
 from hillfield.events import EventCode
 from hillfield.model import Outcome, RequestFailure, Step
-from hillfield.routing.phases import RequestAction, RequestTrigger
-from hillfield.routing.readings import (
+from hillfield.routing.classification import (
     BAD_GATEWAY,
     GATEWAY_TIMEOUT,
     Classification,
 )
-from hillfield.routing.records import Ledger, RequestRecord
+from hillfield.routing.phases import RequestAction, RequestTrigger
+from hillfield.routing.records import RequestRecord, RequestTable
 from hillfield.routing.requests import Refuse
 from hillfield.routing.service import ServiceState
 
@@ -27,7 +27,7 @@
 class Cause(Struct, frozen=True):
     """Hold why a request is refused.
 
-    `status` answers a request that did not run, `doubtful_status` one that may
+    `status` answers a request that did not run, `uncertain_status` one that may
     have run.
     """
 
@@ -36,17 +36,17 @@
     detail: str
     retry_after: float = DEFAULT_RETRY_AFTER
     status: int = UNAVAILABLE
-    doubtful_status: int = BAD_GATEWAY
+    uncertain_status: int = BAD_GATEWAY
 
 
-def describe_reading(classification: Classification) -> Cause:
+def describe_failed_attempt(classification: Classification) -> Cause:
     """Return the cause of a refusal that follows a failed attempt."""
     return Cause(
         classification.event,
         classification.step,
         classification.detail,
         classification.retry_after or DEFAULT_RETRY_AFTER,
-        doubtful_status=classification.status,
+        uncertain_status=classification.status,
     )
 
 
@@ -56,7 +56,7 @@
         EventCode.EXPIRED_IN_QUEUE,
         Step.ADMIT,
         'no slot was free in time',
-        doubtful_status=GATEWAY_TIMEOUT,
+        uncertain_status=GATEWAY_TIMEOUT,
     )
 
 
@@ -71,7 +71,7 @@
 
 
 def end_refused(
-    table: Ledger,
+    table: RequestTable,
     record: RequestRecord,
     cause: Cause,
 ) -> RequestFailure:
@@ -79,7 +79,7 @@
     action = table.end(record, RequestTrigger.REFUSE)
     if action is RequestAction.TELL_NOT_RUN:
         return _build_failure(record, cause, Outcome.NOT_RUN, cause.status)
-    status = cause.doubtful_status
+    status = cause.uncertain_status
     return _build_failure(record, cause, Outcome.UNKNOWN, status)
 
 
--- a/hillfield/routing/requests.py
+++ b/hillfield/routing/requests.py
@@ -1,7 +1,7 @@
 """Messages between the request path and the decisions.
 
 The request path, which does all input and output, reports each event as an
-`Observation`; the dispatcher, which does none, returns a `Verdict`. All times
+`Observation`; the dispatcher, which does none, returns a `Decision`. All times
 are seconds of one monotonic clock and are passed in as values.
 """
 
@@ -9,7 +9,7 @@
 
 from hillfield.model import (
     Address,
-    LifeNotice,
+    IncarnationNotice,
     RequestFailure,
     RequestPlan,
     TargetId,
@@ -38,7 +38,7 @@
 
     `trial` says that the request can be retried at another target if this
     attempt fails, `urgency` how healthy its target has to be, `spent` the
-    seconds since the request was admitted, `told` the last notice received
+    seconds since the request was admitted, `notice` the last notice received
     from the target at this address.
     """
 
@@ -47,9 +47,9 @@
     target: TargetId
     address: Address
     trial: bool = False
-    urgency: Urgency = Urgency.CHOOSY
+    urgency: Urgency = Urgency.HEALTHY_ONLY
     spent: float = 0
-    told: LifeNotice | None = None
+    notice: IncarnationNotice | None = None
 
 
 class Wait(Struct, frozen=True):
@@ -71,7 +71,7 @@
     request: str
 
 
-Verdict = Send | Wait | Refuse | Done
+Decision = Send | Wait | Refuse | Done
 
 
 class ConnectFailed(Struct, frozen=True):
@@ -95,17 +95,17 @@
 class Broken(Struct, frozen=True):
     """The connection ended after a byte was written, without a complete answer.
 
-    `relayed` says that the answer's head was already forwarded to the caller.
+    `forwarded` says that the answer's head was already forwarded to the caller.
     """
 
     detail: str
-    relayed: bool = False
+    forwarded: bool = False
 
 
 class TimedOut(Struct, frozen=True):
     """No complete answer arrived in time after a byte was written."""
 
-    relayed: bool = False
+    forwarded: bool = False
 
 
 class Answered(Struct, frozen=True):
@@ -116,7 +116,7 @@
 
     status: int
     wrong: str = ''
-    relayed: bool = False
+    forwarded: bool = False
 
 
 class CallerGone(Struct, frozen=True):
--- a/hillfield/routing/repeats.py
+++ b/hillfield/routing/retries.py
@@ -2,8 +2,8 @@
 
 from typing import Final
 
+from hillfield.routing.classification import Classification
 from hillfield.routing.phases import AttemptTrigger
-from hillfield.routing.readings import Classification
 from hillfield.routing.records import RequestRecord
 from hillfield.routing.service import ServiceState
 
--- a/hillfield/routing/selection.py
+++ b/hillfield/routing/selection.py
@@ -142,9 +142,9 @@
         if failed:
             seconds = max(seconds, FAILURE_FACTOR * self.latency.mean)
         else:
-            self.latency.note(now, seconds)
+            self.latency.record(now, seconds)
             self._freed = load
-        load.latency.note(now, seconds)
+        load.latency.record(now, seconds)
 
     def pause(self, now: float, target: TargetId) -> None:
         """Pause a target that shed or timed out, and shrink its window.
--- a/hillfield/routing/service.py
+++ b/hillfield/routing/service.py
@@ -7,8 +7,8 @@
 
 from msgspec.structs import replace
 
-from hillfield.detection.boards import Board
-from hillfield.loadreports.reports import Held
+from hillfield.detection.detector import Detector
+from hillfield.loadreports.reports import WithheldWork
 from hillfield.model import (
     Locality,
     ServicePolicy,
@@ -18,12 +18,12 @@
 from hillfield.routing.budgets import RateLimiter, RetryBudget
 from hillfield.routing.capacity import CapacityTable
 from hillfield.routing.departures import DepartureIntervals
-from hillfield.routing.durations import Durations
+from hillfield.routing.durations import RouteDurations
 from hillfield.routing.notices import ReceivedNotices
 from hillfield.routing.phases import RequestTrigger
 from hillfield.routing.queues import FairQueue
 from hillfield.routing.recentdeclines import RecentDeclines
-from hillfield.routing.records import Ledger, RequestRecord
+from hillfield.routing.records import RequestRecord, RequestTable
 from hillfield.routing.requests import Refuse, Send
 from hillfield.routing.selection import Selector
 from hillfield.routing.urgency import compute_urgency
@@ -62,10 +62,10 @@
     """
 
     policy: ServicePolicy
-    detector: Board
+    detector: Detector
     selector: Selector
     budget: RetryBudget
-    table: Ledger = field(default_factory=Ledger)
+    table: RequestTable = field(default_factory=RequestTable)
     limiter: RateLimiter = field(default_factory=RateLimiter)
     queue: FairQueue = field(default_factory=FairQueue)
     departures: DepartureIntervals = field(default_factory=DepartureIntervals)
@@ -73,7 +73,7 @@
     pending_refusals: list[Refuse] = field(default_factory=list)
     counters: Counters = field(default_factory=Counters)
     recent_declines: RecentDeclines = field(default_factory=RecentDeclines)
-    durations: Durations = field(default_factory=Durations)
+    durations: RouteDurations = field(default_factory=RouteDurations)
     capacities: CapacityTable = field(default_factory=CapacityTable)
     notices: ReceivedNotices = field(default_factory=ReceivedNotices)
     scanned_at: float = 0
@@ -136,7 +136,7 @@
         """Start an attempt of the request at the target."""
         capacity = self.capacities.find(target.id)
         allow_suspected = (
-            capacity is not None and capacity.withheld is Held.ONCE
+            capacity is not None and capacity.withheld is WithheldWork.ONCE
         )
         self.selector.record_sent(target.id)
         self.capacities.count_sent(target.id)
@@ -146,7 +146,7 @@
             trial=self._can_retry(record, record.sent),
             urgency=compute_urgency(now, record, allow_suspected),
             spent=round(record.compute_elapsed(now), MILLISECOND_DIGITS),
-            told=self.notices.find(now, target.id.address),
+            notice=self.notices.find(now, target.id.address),
         )
 
     def cancel(self, request: str) -> None:
@@ -195,7 +195,7 @@
         plan = record.arrival.plan
         if plan.aim:
             return self.durations.find(plan).find_quantile(0)
-        if self.durations.knows(plan):
+        if self.durations.is_measured(plan):
             return self.durations.find(plan).find_quantile(LIKELY_DEVIATIONS)
         return self.bound_latency()
 
@@ -218,13 +218,13 @@
         if not (plan.idempotent and record.arrival.replayable):
             return False
         spare = sent < plan.maximum_attempts
-        return spare and self.budget.retries.can_take()
+        return spare and self.budget.retries.can_consume()
 
 
 def open_service(
     policy: ServicePolicy,
     locality: Locality,
-    detector: Board,
+    detector: Detector,
     random: Random,
 ) -> ServiceState:
     """Return the state of a service that has had no traffic."""
--- a/hillfield/routing/bench.py
+++ b/hillfield/routing/simulation.py
@@ -16,7 +16,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from hillfield.detection.boards import Board
+from hillfield.detection.detector import Detector
 from hillfield.model import (
     Address,
     Locality,
@@ -30,12 +30,12 @@
     Answered,
     Arrival,
     Broken,
+    Decision,
     Observation,
     Refuse,
     Send,
     Shed,
     TimedOut,
-    Verdict,
 )
 
 SERVICE: Final = 'measured'
@@ -229,7 +229,9 @@
         name = str(self.tally.arrived)
         return Arrival(name, plan, now + setting.deadline, replayable=True)
 
-    def _apply_decision(self, now: float, node: int, decision: Verdict) -> None:
+    def _apply_decision(
+        self, now: float, node: int, decision: Decision
+    ) -> None:
         if isinstance(decision, Refuse):
             self.tally.refused += 1
             self.tally.unknown += decision.failure.outcome == 'unknown'
@@ -239,7 +241,7 @@
         counts = self.tally.by_target
         counts[decision.target] = counts.get(decision.target, 0) + 1
         self._live[node, decision.attempt] = decision
-        self._nodes[node].note_written(now, decision.attempt)
+        self._nodes[node].record_written(now, decision.attempt)
         arrival = self._arrivals[decision.request]
         details = (node, decision.attempt, TimedOut())
         self._schedule(arrival.expires, self._end, details)
@@ -326,7 +328,7 @@
 ) -> Dispatcher:
     domain = 'abc'[node % DOMAINS]
     locality = replace(LOCALITY, failure_domain=domain, host=f'h{node}')
-    detector: Board = detector_kind(setting.policy, locality)
+    detector: Detector = detector_kind(setting.policy, locality)
     random = Random(setting.seed + node)
     dispatcher: Dispatcher = dispatcher_kind(
         setting.policy,
--- a/hillfield/routing/table.py
+++ b/hillfield/routing/table.py
@@ -5,19 +5,19 @@
 from random import Random
 from typing import Final
 
-from hillfield.detection.boards import Board
+from hillfield.detection.detector import Detector
 from hillfield.detection.evidence import Evidence
 from hillfield.events import Occurrence
 from hillfield.model import Locality, ServicePolicy, Target
 from hillfield.routing.dispatcher import Dispatcher
 from hillfield.routing.explanations import RoutingExplanation
-from hillfield.routing.requests import Verdict
+from hillfield.routing.requests import Decision
 
 # Seconds after which a lower number of nodes counts.
 FEWER_NODES_DELAY: Final = 7200.0
-DetectorFactory = Callable[[ServicePolicy, Locality], Board]
+DetectorFactory = Callable[[ServicePolicy, Locality], Detector]
 DispatcherFactory = Callable[
-    [ServicePolicy, Locality, Board, Random],
+    [ServicePolicy, Locality, Detector, Random],
     Dispatcher,
 ]
 
@@ -39,7 +39,7 @@
     ) -> None:
         """Create a table without services.
 
-        `detector_factory` is `HealthBoard`, except in measurements.
+        `detector_factory` is `HealthDetector`, except in measurements.
         """
         self._locality = locality
         self._detector_factory = detector_factory
@@ -136,7 +136,7 @@
             self._reported_services.pop(node)
         for service, pieces in by_service.items():
             if service in self._dispatchers:
-                detector = self.for_service(service).board
+                detector = self.for_service(service).detector
                 detector.adopt_evidence(now, node, domain, tuple(pieces))
 
     def tick(self, now: float) -> tuple[Occurrence, ...]:
@@ -160,7 +160,7 @@
             ),
         )
 
-    def poll(self, now: float) -> tuple[Verdict, ...]:
+    def poll(self, now: float) -> tuple[Decision, ...]:
         """Return decisions for queued requests of all services."""
         return tuple(
             chain.from_iterable(
@@ -173,7 +173,7 @@
         """Return the evidence to send to other nodes."""
         return tuple(
             chain.from_iterable(
-                dispatcher.board.evidence(now)
+                dispatcher.detector.evidence(now)
                 for dispatcher in self._dispatchers.values()
             ),
         )
--- a/hillfield/routing/tests/test_declining.py
+++ b/hillfield/routing/tests/test_declining.py
@@ -4,7 +4,7 @@
 
 from msgspec.structs import replace
 
-from hillfield.detection.paths import PathBoard
+from hillfield.detection.pathdetector import PathDetector
 from hillfield.model import (
     Address,
     Locality,
@@ -42,7 +42,7 @@
 
 
 def make_dispatcher(count=10):
-    detector = PathBoard(POLICY, HERE)
+    detector = PathDetector(POLICY, HERE)
     dispatcher = Dispatcher(POLICY, HERE, detector, Random(1))
     dispatcher.adopt_targets(0, make_targets(count))
     return dispatcher
@@ -54,7 +54,7 @@
 
 
 def decline(dispatcher, decision, now=0):
-    dispatcher.note_written(now, decision.attempt)
+    dispatcher.record_written(now, decision.attempt)
     return dispatcher.finish(now, decision.attempt, Declined('full'))
 
 
@@ -67,7 +67,7 @@
         second = decline(dispatcher, first, number)
         assert isinstance(second, Send)
         assert second.target != first.target
-        dispatcher.note_written(number, second.attempt)
+        dispatcher.record_written(number, second.attempt)
         dispatcher.finish(number, second.attempt, Answered(200))
 
 
@@ -87,21 +87,21 @@
     dispatcher = make_dispatcher()
     decision = dispatcher.admit(0, arrive('r', idempotent))
     for _ in range(QUARANTINED_DECLINES):
-        assert decision.urgency < Urgency.INSISTS
+        assert decision.urgency < Urgency.ALLOW_QUARANTINED
         decision = decline(dispatcher, decision)
-    assert decision.urgency < Urgency.INSISTS
+    assert decision.urgency < Urgency.ALLOW_QUARANTINED
     return decline(dispatcher, decision, now)
 
 
 def test_a_request_declined_by_many_gates_accepts_quarantined_targets():
     for idempotent in (True, False):
         sent = decline_until(idempotent, QUARANTINED_SECONDS)
-        assert sent.urgency is Urgency.INSISTS
+        assert sent.urgency is Urgency.ALLOW_QUARANTINED
 
 
 def test_a_request_declined_for_long_accepts_any_target():
     sent = decline_until(False, ANY_SECONDS)
-    assert sent.urgency is Urgency.PRESSES
+    assert sent.urgency is Urgency.ALLOW_ANY
 
 
 def test_only_a_request_with_a_retry_left_is_a_trial():
@@ -110,10 +110,10 @@
     assert not without_retry.trial
     with_retries = ServicePolicy('s', retry_burst=5)
     dispatcher.adopt_policy(0, with_retries)
-    dispatcher.board.adopt_policy(0, with_retries)
+    dispatcher.detector.adopt_policy(0, with_retries)
     for number in range(20):
         sent = dispatcher.admit(0, arrive(f'x{number}'))
-        dispatcher.note_written(0, sent.attempt)
+        dispatcher.record_written(0, sent.attempt)
         dispatcher.finish(0, sent.attempt, Answered(200))
         assert not sent.trial
     assert dispatcher.admit(0, arrive('b', idempotent=True)).trial
@@ -137,7 +137,9 @@
 def test_requests_wait_for_the_first_target():
     """After a restart, 143 requests were refused before a target was known."""
     patient = replace(POLICY, patience=1)
-    dispatcher = Dispatcher(patient, HERE, PathBoard(patient, HERE), Random(1))
+    dispatcher = Dispatcher(
+        patient, HERE, PathDetector(patient, HERE), Random(1)
+    )
     assert isinstance(dispatcher.admit(0, arrive('r')), Wait)
     assert not dispatcher.poll(0.5)
     dispatcher.adopt_targets(0.6, make_targets(1))
@@ -146,7 +148,9 @@
 
 def test_requests_wait_for_a_target_no_longer_than_the_policy_says():
     patient = replace(POLICY, patience=1)
-    dispatcher = Dispatcher(patient, HERE, PathBoard(patient, HERE), Random(1))
+    dispatcher = Dispatcher(
+        patient, HERE, PathDetector(patient, HERE), Random(1)
+    )
     dispatcher.admit(0, arrive('r'))
     refused = dispatcher.poll(1.1)
     assert [type(decision) for decision in refused] == [Refuse]
@@ -154,13 +158,13 @@
 
 
 def decline_lastingly(dispatcher, decision, now=0):
-    dispatcher.note_written(now, decision.attempt)
+    dispatcher.record_written(now, decision.attempt)
     declined = Declined('quarantined', lasting=True)
     return dispatcher.finish(now, decision.attempt, declined)
 
 
 def answer(dispatcher, decision, now):
-    dispatcher.note_written(now, decision.attempt)
+    dispatcher.record_written(now, decision.attempt)
     dispatcher.finish(now, decision.attempt, Answered(200))
 
 
@@ -169,7 +173,7 @@
     dispatcher = make_dispatcher(count)
     with_retries = ServicePolicy('s', retry_burst=5)
     dispatcher.adopt_policy(0, with_retries)
-    dispatcher.board.adopt_policy(0, with_retries)
+    dispatcher.detector.adopt_policy(0, with_retries)
     first = dispatcher.admit(0, arrive('first'))
     answer(dispatcher, decline_lastingly(dispatcher, first), 0)
     return dispatcher, first.target
@@ -216,7 +220,7 @@
     for _ in range(2):
         decision = decline_lastingly(dispatcher, decision)
     decline_lastingly(dispatcher, decision)
-    dispatcher.leave(0, 'first')
+    dispatcher.cancel(0, 'first')
     assert isinstance(dispatcher.admit(1, arrive('next', now=1)), Send)
 
 
--- a/hillfield/routing/tests/test_dispatcher.py
+++ b/hillfield/routing/tests/test_dispatcher.py
@@ -6,7 +6,7 @@
 from msgspec.structs import replace
 from pytest import fixture, mark
 
-from hillfield.detection.board import HealthBoard
+from hillfield.detection.healthdetector import HealthDetector
 from hillfield.model import (
     Address,
     Locality,
@@ -62,7 +62,7 @@
 
 def make_dispatcher(count: int, slots: int = 4, **more: Any) -> Any:
     policy = replace(POLICY, **more)
-    detector = HealthBoard(policy, HERE)
+    detector = HealthDetector(policy, HERE)
     dispatcher = Dispatcher(policy, HERE, detector, Random(1))
     targets = tuple(make_target(place, slots) for place in range(count))
     dispatcher.adopt_targets(0, targets)
@@ -70,7 +70,7 @@
 
 
 def answer(dispatcher: Any, send: Any, now: float) -> None:
-    dispatcher.note_written(now, send.attempt)
+    dispatcher.record_written(now, send.attempt)
     dispatcher.finish(now, send.attempt, Answered(200))
 
 
@@ -88,8 +88,8 @@
 
 def test_answer_ends_the_request(pair):
     send = pair.admit(0, make_arrival('a'))
-    pair.note_written(0, send.attempt)
-    pair.note_head(0.01, send.attempt)
+    pair.record_written(0, send.attempt)
+    pair.record_head(0.01, send.attempt)
     assert pair.finish(0.02, send.attempt, Answered(200)) == Done('a')
 
 
@@ -114,7 +114,7 @@
 )
 def test_written_non_idempotent_is_unknown(pair, observation, status):
     send = pair.admit(0, make_arrival('a', idempotent=False))
-    pair.note_written(0, send.attempt)
+    pair.record_written(0, send.attempt)
     failure = pair.finish(0.1, send.attempt, observation).failure
     assert failure.outcome is Outcome.UNKNOWN
     assert failure.status == status
@@ -124,9 +124,9 @@
 
 def test_shed_non_idempotent_is_retried_then_not_run(pair):
     send = pair.admit(0, make_arrival('a', idempotent=False))
-    pair.note_written(0, send.attempt)
+    pair.record_written(0, send.attempt)
     again = pair.finish(0.1, send.attempt, Shed(3))
-    pair.note_written(0.1, again.attempt)
+    pair.record_written(0.1, again.attempt)
     # Both targets pause, so that the third attempt waits for a slot.
     assert again.target != send.target
     assert pair.finish(0.2, again.attempt, Shed(3)) == Wait('a')
@@ -160,7 +160,7 @@
 def test_shed_by_the_only_target_is_not_run():
     dispatcher = make_dispatcher(1)
     send = dispatcher.admit(0, make_arrival('a', idempotent=False))
-    dispatcher.note_written(0, send.attempt)
+    dispatcher.record_written(0, send.attempt)
     failure = dispatcher.finish(0.1, send.attempt, Shed(3)).failure
     assert failure.outcome is Outcome.NOT_RUN
     assert failure.retry_after == 3
@@ -172,16 +172,16 @@
 )
 def test_idempotent_is_retried_elsewhere(pair, observation):
     send = pair.admit(0, make_arrival('a'))
-    pair.note_written(0, send.attempt)
+    pair.record_written(0, send.attempt)
     again = pair.finish(0.1, send.attempt, observation)
     assert again.target != send.target
 
 
 def test_shed_after_an_uncertain_attempt_stays_unknown(pair):
     send = pair.admit(0, make_arrival('a', maximum_attempts=2))
-    pair.note_written(0, send.attempt)
+    pair.record_written(0, send.attempt)
     again = pair.finish(0.1, send.attempt, Broken(''))
-    pair.note_written(0.1, again.attempt)
+    pair.record_written(0.1, again.attempt)
     failure = pair.finish(0.2, again.attempt, Shed()).failure
     assert failure.outcome is Outcome.UNKNOWN
     assert failure.retry_after
@@ -189,7 +189,7 @@
 
 def test_no_retry_past_the_deadline(pair):
     send = pair.admit(0, make_arrival('a'))
-    pair.note_written(0, send.attempt)
+    pair.record_written(0, send.attempt)
     failure = pair.finish(2, send.attempt, TimedOut()).failure
     assert (failure.status, failure.outcome) == (504, Outcome.UNKNOWN)
 
@@ -200,16 +200,16 @@
 )
 def test_forwarded_answer_is_never_retried(pair, observation):
     send = pair.admit(0, make_arrival('a'))
-    pair.note_written(0, send.attempt)
+    pair.record_written(0, send.attempt)
     assert pair.finish(0.1, send.attempt, observation) == Done('a')
 
 
 def test_late_and_duplicate_observations_change_nothing(pair):
     send = pair.admit(0, make_arrival('a', idempotent=False))
-    pair.note_written(0, send.attempt)
+    pair.record_written(0, send.attempt)
     pair.finish(0.1, send.attempt, Answered(200))
     assert pair.finish(0.2, send.attempt, ConnectFailed('')) == Done('')
-    pair.note_written(0.2, send.attempt)
+    pair.record_written(0.2, send.attempt)
     assert pair.explain(0.2).strays == 2
 
 
@@ -218,9 +218,9 @@
     earlier = pair.admit(0, make_arrival('w'))
     pair.finish(0.1, earlier.attempt, Answered(200))
     first = pair.admit(0.1, make_arrival('a'))
-    pair.note_written(0.1, first.attempt)
+    pair.record_written(0.1, first.attempt)
     second = pair.hedge(0.2, 'a')
-    pair.note_written(0.2, second.attempt)
+    pair.record_written(0.2, second.attempt)
     return first, second
 
 
@@ -265,7 +265,7 @@
     dispatcher = make_dispatcher(1, slots=1)
     send = dispatcher.admit(0, make_arrival('a'))
     dispatcher.admit(0, make_arrival('b'))
-    dispatcher.leave(0, 'b')
+    dispatcher.cancel(0, 'b')
     dispatcher.finish(0.1, send.attempt, Answered(200))
     assert dispatcher.poll(0.1) == ()
 
@@ -277,7 +277,7 @@
     for name in 'bc':
         dispatcher.admit(0, make_arrival(name))
     assert dispatcher.admit(0, make_arrival('d', account='other')) == Wait('d')
-    dispatcher.leave(0, 'c')
+    dispatcher.cancel(0, 'c')
     assert dispatcher.poll(0) == ()
 
 
@@ -369,7 +369,7 @@
         decision = dispatcher.admit(now, make_arrival(f'{number}', now=now))
         while isinstance(decision, Send):
             sends += 1
-            dispatcher.note_written(now, decision.attempt)
+            dispatcher.record_written(now, decision.attempt)
             decision = dispatcher.finish(now, decision.attempt, Broken(''))
         assert isinstance(decision, Refuse)
     assert sends <= 1010
--- a/hillfield/routing/tests/test_flapping_target.py
+++ b/hillfield/routing/tests/test_flapping_target.py
@@ -3,11 +3,11 @@
 from msgspec.structs import replace
 from pytest import mark
 
-from hillfield.detection.board import HealthBoard
+from hillfield.detection.healthdetector import HealthDetector
 from hillfield.model import ServicePolicy
-from hillfield.routing.bench import ANSWER, SERVICE, Setting, Simulation
 from hillfield.routing.dispatcher import Dispatcher
 from hillfield.routing.requests import Answered
+from hillfield.routing.simulation import ANSWER, SERVICE, Setting, Simulation
 
 # 2 nodes, 6 targets of 4 slots, and one account that sends all of the 150
 # reads a second.
@@ -43,12 +43,12 @@
     # Five 500 answers within 0.1 s used up the retry tokens of an account that
     # brings all of the traffic.
     setting = replace(SETTING, seed=seed)
-    tally = FlappingSimulation(setting, HealthBoard, Dispatcher).run()
+    tally = FlappingSimulation(setting, HealthDetector, Dispatcher).run()
     assert not tally.refused
 
 
 @mark.parametrize('seed', range(4))
 def test_a_service_that_fails_gets_few_retries(seed):
     broken = replace(SETTING, seed=seed, broken=True)
-    tally = Simulation(broken, HealthBoard, Dispatcher).run()
+    tally = Simulation(broken, HealthDetector, Dispatcher).run()
     assert tally.sent - tally.arrived <= 2 * SETTING.policy.retry_burst
--- a/hillfield/routing/tests/test_fuzz.py
+++ b/hillfield/routing/tests/test_fuzz.py
@@ -23,8 +23,8 @@
 from msgspec.structs import replace
 from pytest import mark, raises
 
-from hillfield.detection.board import HealthBoard
 from hillfield.detection.evidence import Evidence, Symptom
+from hillfield.detection.healthdetector import HealthDetector
 from hillfield.detection.rotation import Rotation
 from hillfield.model import (
     Address,
@@ -36,7 +36,7 @@
     TargetId,
     TargetState,
 )
-from hillfield.routing import Dispatcher, repeats
+from hillfield.routing import Dispatcher, retries
 from hillfield.routing.records import MAXIMUM_UNSENT
 from hillfield.routing.requests import (
     Answered,
@@ -79,9 +79,9 @@
 UNWRITTEN: tuple[Observation, ...] = (ConnectFailed('c'), NothingWritten('n'))
 CUT: tuple[Observation, ...] = (Broken('b'), TimedOut())
 RELAYED: tuple[Observation, ...] = (
-    Broken('b', relayed=True),
-    TimedOut(relayed=True),
-    Answered(200, 'short', relayed=True),
+    Broken('b', forwarded=True),
+    TimedOut(forwarded=True),
+    Answered(200, 'short', forwarded=True),
 )
 ANSWERS: tuple[Observation, ...] = (Answered(200), Answered(500, 'status'))
 WRITTEN: tuple[Observation, ...] = (*CUT, *RELAYED, *ANSWERS, Shed())
@@ -142,7 +142,7 @@
     """Run a dispatcher and a detector through faults."""
 
     dispatcher_kind: Any = Dispatcher
-    detector_kind: Any = HealthBoard
+    detector_kind: Any = HealthDetector
 
     def __init__(self) -> None:
         super().__init__()
@@ -199,7 +199,7 @@
             self.fresh.discard(known.id)
             evidence = (Evidence(known.id, symptom, 50, 50, 9),)
             for node in ('n1', 'n2', 'n3'):
-                self.dispatcher.board.adopt_evidence(
+                self.dispatcher.detector.adopt_evidence(
                     self.now, node, node, evidence
                 )
 
@@ -234,7 +234,7 @@
         name = names[pick % len(names)]
         if name not in self.oracle.outcomes and not self.oracle.of(name):
             self.oracle.gone.add(name)
-            self.dispatcher.leave(self.now, name)
+            self.dispatcher.cancel(self.now, name)
 
     @precondition(has_live)
     @rule(pick=picks)
@@ -271,7 +271,7 @@
         truth.written = True
         # From now on a stall can be detected, also before the attempt ends.
         self.fresh.discard(truth.send.target)
-        self.dispatcher.note_written(self.now, truth.send.attempt)
+        self.dispatcher.record_written(self.now, truth.send.attempt)
 
     @precondition(has_attempts)
     @rule(pick=picks)
@@ -312,8 +312,8 @@
         truth = attempts[pick % len(attempts)]
         if truth.ended:
             attempt = truth.send.attempt
-            self.dispatcher.note_written(self.now, attempt)
-            self.dispatcher.note_head(self.now, attempt)
+            self.dispatcher.record_written(self.now, attempt)
+            self.dispatcher.record_head(self.now, attempt)
             decision = self.dispatcher.finish(self.now, attempt, observation)
             assert decision == Done('')
 
@@ -393,7 +393,7 @@
         known = self.announced.get(send.address.port - 7000)
         assert known is not None and known.id == send.target
         assert known.state is not TargetState.DRAINING
-        rotation = self.dispatcher.board.rotation()
+        rotation = self.dispatcher.detector.rotation()
         rotating = {one.target.id for one in rotation.candidates}
         assert send.target in rotating
         tried = self.oracle.tried(send.request)
@@ -429,13 +429,13 @@
     @invariant()
     def stays_above_the_floor(self) -> None:
         live = self.remaining()
-        rotation = self.dispatcher.board.rotation()
+        rotation = self.dispatcher.detector.rotation()
         kept = sum(one.target.slots for one in rotation.candidates)
         assert kept >= POLICY.floor * sum(target.slots for target in live)
 
     @invariant()
     def new_incarnations_are_in_rotation(self) -> None:
-        rotation = self.dispatcher.board.rotation()
+        rotation = self.dispatcher.detector.rotation()
         rotating = {one.target.id for one in rotation.candidates}
         remaining = {target.id for target in self.remaining()}
         assert remaining & self.fresh <= rotating
@@ -456,14 +456,14 @@
         assert not any(load.in_flight for load in explanation.loads)
 
 
-class FloorlessDetector(HealthBoard):
+class FloorlessDetector(HealthDetector):
     """Inject the fault that the floor is ignored."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
         super().__init__(replace(policy, floor=0), locality)
 
 
-class StaleDetector(HealthBoard):
+class StaleDetector(HealthDetector):
     """Inject the fault that an ejection extends to the next incarnation."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
@@ -472,7 +472,7 @@
         self.out: set[Address] = set()
 
     def adopt_targets(self, now: float, targets: tuple[Target, ...]) -> None:
-        sound = HealthBoard.rotation(self)
+        sound = HealthDetector.rotation(self)
         rotating = {one.target.id for one in sound.candidates}
         for target in targets:
             address = target.id.address
@@ -556,6 +556,6 @@
 
 @mark.seeded
 def test_fuzz_finds_retry_after_unknown(monkeypatch):
-    monkeypatch.setattr(repeats, '_may_repeat', lambda record: True)
+    monkeypatch.setattr(retries, '_may_repeat', lambda record: True)
     with raises(AssertionError):
         run_faulty()
--- a/hillfield/routing/tests/test_hedging.py
+++ b/hillfield/routing/tests/test_hedging.py
@@ -4,8 +4,8 @@
 
 from pytest import mark
 
-from hillfield.detection.paths import PathBoard
-from hillfield.hostroutes.allowances import make_policy
+from hillfield.detection.pathdetector import PathDetector
+from hillfield.hostroutes.node_policy import make_policy
 from hillfield.model import (
     Address,
     Locality,
@@ -39,7 +39,7 @@
 def make_dispatcher(targets=6, seed=1):
     policy = make_policy(RATIO, 0.7)
     plain = ServicePolicy('s')
-    detector = PathBoard(plain, HERE)
+    detector = PathDetector(plain, HERE)
     dispatcher = Dispatcher(plain, HERE, detector, Random(seed))
     # As at a node, the service is created before its policy is known.
     dispatcher.adopt_policy(0, policy)
@@ -62,7 +62,7 @@
     arrival = Arrival(name, plan, now + plan.deadline, True)
     sent = dispatcher.admit(now, arrival)
     assert isinstance(sent, Send)
-    dispatcher.note_written(now, sent.attempt)
+    dispatcher.record_written(now, sent.attempt)
     return sent
 
 
@@ -75,7 +75,7 @@
     dispatcher = make_dispatcher()
     for number in range(60):
         answer(dispatcher, f'r{number}', number, 0.1)
-    assert round(dispatcher.find_hedge_delay(CALL), 1) in {0.1, 0.2}
+    assert round(dispatcher.compute_hedge_delay(CALL), 1) in {0.1, 0.2}
 
 
 def test_the_delay_leaves_time_for_a_second_attempt():
@@ -83,7 +83,7 @@
         dispatcher = make_dispatcher()
         for number in range(60):
             answer(dispatcher, f'r{number}', 2 * number, seconds)
-        delay = dispatcher.find_hedge_delay(CALL)
+        delay = dispatcher.compute_hedge_delay(CALL)
         assert (
             EARLIEST_AIM_SHARE * CALL.aim
             <= delay
@@ -93,9 +93,9 @@
 
 def test_non_idempotent_requests_and_those_without_aim_have_no_delay():
     dispatcher = make_dispatcher()
-    assert dispatcher.find_hedge_delay(NON_IDEMPOTENT) is None
+    assert dispatcher.compute_hedge_delay(NON_IDEMPOTENT) is None
     plain = RequestPlan('s', 'r', '', True, 1.5)
-    assert dispatcher.find_hedge_delay(plain) is None
+    assert dispatcher.compute_hedge_delay(plain) is None
 
 
 def test_cancelled_attempts_keep_the_delay_from_falling():
@@ -103,11 +103,11 @@
     dispatcher = make_dispatcher()
     for number in range(40):
         answer(dispatcher, f'r{number}', number, 0.1)
-    before = dispatcher.find_hedge_delay(CALL)
+    before = dispatcher.compute_hedge_delay(CALL)
     for number in range(40, 60):
         sent = send(dispatcher, f'r{number}', number)
         dispatcher.finish(number + 0.3, sent.attempt, CallerGone())
-    assert dispatcher.find_hedge_delay(CALL) > before
+    assert dispatcher.compute_hedge_delay(CALL) > before
 
 
 def decline(dispatcher, sent, now):
@@ -123,7 +123,7 @@
     assert isinstance(third, Send)
     targets = {first.target, second.target, third.target}
     assert len(targets) == 3
-    dispatcher.note_written(0.32, third.attempt)
+    dispatcher.record_written(0.32, third.attempt)
     done = dispatcher.finish(0.4, third.attempt, Answered(200))
     assert done.request == 'r'
 
--- a/hillfield/routing/tests/test_overload.py
+++ b/hillfield/routing/tests/test_overload.py
@@ -3,8 +3,8 @@
 from msgspec.structs import replace
 from pytest import mark
 
-from hillfield.routing.bench import Burst, Setting, make_targets
 from hillfield.routing.measurement import measure_overload, measure_setting
+from hillfield.routing.simulation import Burst, Setting, make_targets
 
 SHARED = Setting(nodes=4, targets=4, seconds=1, deadline=0.25)
 
--- a/hillfield/routing/tests/test_placement.py
+++ b/hillfield/routing/tests/test_placement.py
@@ -6,9 +6,9 @@
 from msgspec.structs import replace
 from pytest import fixture
 
-from hillfield.detection.paths import PathBoard
-from hillfield.hostroutes.allowances import make_policy
-from hillfield.loadreports import Held, LoadReport
+from hillfield.detection.pathdetector import PathDetector
+from hillfield.hostroutes.node_policy import make_policy
+from hillfield.loadreports import LoadReport, WithheldWork
 from hillfield.model import (
     Address,
     Locality,
@@ -38,7 +38,7 @@
 
     def __init__(self):
         policy = make_policy(0.2, 0.7)
-        detector = PathBoard(policy, HERE)
+        detector = PathDetector(policy, HERE)
         self.dispatcher = Dispatcher(policy, HERE, detector, Random(1))
         targets = tuple(
             Target(
@@ -52,7 +52,7 @@
         self.dispatcher.adopt_targets(0, targets)
         self.count = 0
 
-    def report(self, number, free, waiting=0, held=Held.NOTHING, now=0):
+    def report(self, number, free, waiting=0, held=WithheldWork.NOTHING, now=0):
         self.count += 1
         identity = identify(number)
         self.dispatcher.adopt_report(
@@ -82,7 +82,7 @@
         for step in range(20):
             arrival = Arrival(f'l{step}', POST, 10, True)
             sent: Any = self.dispatcher.admit(0, arrival)
-            self.dispatcher.note_written(0, sent.attempt)
+            self.dispatcher.record_written(0, sent.attempt)
             self.dispatcher.finish(seconds, sent.attempt, Answered(200))
 
 
@@ -136,30 +136,30 @@
 
 
 def test_non_idempotent_requests_avoid_suspected_targets(fleet):
-    fleet.report(0, SLOTS, held=Held.ONCE)
+    fleet.report(0, SLOTS, held=WithheldWork.ONCE)
     fleet.report(1, SLOTS)
     assert fleet.place_many(4) == {1}
 
 
 def test_idempotent_requests_do_not_avoid_suspected_targets(fleet):
-    fleet.report(0, SLOTS, held=Held.ONCE)
+    fleet.report(0, SLOTS, held=WithheldWork.ONCE)
     fleet.report(1, SLOTS)
     assert fleet.place_many(8, LOOKUP) == {0, 1}
 
 
 def test_only_a_gate_that_waits_for_a_trial_gets_one(fleet):
     fleet.dispatcher.tick(10)
-    fleet.report(0, SLOTS, held=Held.ALL)
+    fleet.report(0, SLOTS, held=WithheldWork.ALL)
     fleet.report(1, SLOTS)
     assert fleet.place_many(4, LOOKUP) == {1}
-    fleet.report(0, SLOTS, held=Held.USUAL)
+    fleet.report(0, SLOTS, held=WithheldWork.USUAL)
     fleet.report(1, SLOTS)
     assert fleet.place_many(6, LOOKUP) == {0, 1}
 
 
 def test_targets_that_withhold_all_work_are_the_last_choice(fleet):
     for number in (*NEAR, *FAR):
-        fleet.report(number, SLOTS, held=Held.ALL)
+        fleet.report(number, SLOTS, held=WithheldWork.ALL)
     assert fleet.place() in {*NEAR, *FAR}
 
 
--- a/hillfield/routing/tests/test_ratelimits.py
+++ b/hillfield/routing/tests/test_ratelimits.py
@@ -6,13 +6,13 @@
 
 from pytest import fixture
 
-from hillfield.detection.paths import PathBoard
+from hillfield.detection.pathdetector import PathDetector
 from hillfield.events import EventCode
-from hillfield.hostroutes.allowances import make_policy
-from hillfield.loadreports import Held, LoadReport
+from hillfield.hostroutes.node_policy import make_policy
+from hillfield.loadreports import LoadReport, WithheldWork
 from hillfield.model import (
     Address,
-    LifeNotice,
+    IncarnationNotice,
     Locality,
     Outcome,
     RequestPlan,
@@ -36,7 +36,7 @@
 
     def __init__(self):
         policy = make_policy(0.2, 0.7)
-        detector = PathBoard(policy, HERE)
+        detector = PathDetector(policy, HERE)
         self.dispatcher = Dispatcher(policy, HERE, detector, Random(1))
         self.dispatcher.adopt_targets(
             0,
@@ -44,9 +44,9 @@
         )
         self.count = 0
 
-    def report(self, target, free, wait, rate=2.0, held=Held.NOTHING):
+    def report(self, target, free, wait, rate=2.0, held=WithheldWork.NOTHING):
         self.count += 1
-        notice = None if rate is None else LifeNotice('i', rate)
+        notice = None if rate is None else IncarnationNotice('i', rate)
         self.dispatcher.adopt_report(
             0,
             LoadReport(
@@ -109,7 +109,7 @@
 
 
 def test_a_target_whose_gate_withholds_work_is_not_waited_for(service):
-    service.report(TARGETS[2], 0, 0.1, held=Held.ALL)
+    service.report(TARGETS[2], 0, 0.1, held=WithheldWork.ALL)
     assert isinstance(service.send(), Refuse)
 
 
@@ -130,7 +130,7 @@
         service.report(target, 0, 2.0)
     service.report(TARGETS[0], 1, 0)
     sent = service.send()
-    service.dispatcher.note_written(0, sent.attempt)
+    service.dispatcher.record_written(0, sent.attempt)
     service.dispatcher.finish(0.1, sent.attempt, Answered(200))
     capacities = service.dispatcher.explain(0.1).rooms
     assert {room.free for room in capacities} == {0}
--- a/hillfield/routing/tests/test_selection.py
+++ b/hillfield/routing/tests/test_selection.py
@@ -4,8 +4,8 @@
 from heapq import heappop, heappush
 from random import Random
 
-from hillfield.detection.board import HealthBoard
 from hillfield.detection.health import Health
+from hillfield.detection.healthdetector import HealthDetector
 from hillfield.detection.rotation import Candidate, Rotation
 from hillfield.model import (
     Address,
@@ -38,7 +38,7 @@
     selector = Selector(HERE, Random(1))
     selector.adopt_allowances({target.id: 4 for target in TARGETS})
     candidates = tuple(
-        Candidate(target, 1, watched=watched and target is TARGETS[0])
+        Candidate(target, 1, keeps_share=watched and target is TARGETS[0])
         for target in TARGETS
     )
     selector.adopt(Rotation(candidates, frozenset(), 24, 24))
@@ -73,13 +73,13 @@
     arrival = Arrival(f'r{number}', LOOKUP, now + 5, True)
     sent = dispatcher.admit(now, arrival)
     seconds = SLOW if sent.target == TARGETS[0].id else QUICK
-    dispatcher.note_written(now, sent.attempt)
+    dispatcher.record_written(now, sent.attempt)
     return now + seconds, sent.attempt
 
 
 def test_a_suspected_target_is_decided_on_soon():
     policy = ServicePolicy('s')
-    detector = HealthBoard(policy, HERE)
+    detector = HealthDetector(policy, HERE)
     dispatcher = Dispatcher(policy, HERE, detector, Random(1))
     dispatcher.adopt_targets(0, TARGETS)
     open_attempts: list[tuple[float, int]] = []
@@ -99,7 +99,7 @@
 
 def becomes_watched(observation, seconds):
     """Return whether a target that just became suspected is watched."""
-    detector = HealthBoard(ServicePolicy('s'), HERE)
+    detector = HealthDetector(ServicePolicy('s'), HERE)
     detector.adopt_targets(0, TARGETS)
     for number in range(60):
         target = TARGETS[number % 6].id
@@ -109,11 +109,11 @@
         if target == TARGETS[0].id:
             end = start + seconds
             seen = observation
-        detector.note_started(start, target, number)
+        detector.record_start(start, target, number)
         detector.observe(end, target, number, seen)
         detector.tick(end)
         if detector.explain(end)[0].state == Health.SUSPECTED:
-            return detector.rotation().candidates[0].watched
+            return detector.rotation().candidates[0].keeps_share
     raise AssertionError('never suspected')
 
 
--- a/hillfield/routing/tests/test_subsets.py
+++ b/hillfield/routing/tests/test_subsets.py
@@ -9,7 +9,7 @@
 from pytest import mark
 
 from hillfield.model import Locality, TargetState
-from hillfield.routing.bench import CONNECTION_LIMIT, make_targets
+from hillfield.routing.simulation import CONNECTION_LIMIT, make_targets
 from hillfield.routing.subsets import (
     choose_subset,
     compute_connection_share,
--- a/hillfield/routing/tests/test_table.py
+++ b/hillfield/routing/tests/test_table.py
@@ -6,9 +6,9 @@
 from msgspec.structs import replace
 from pytest import mark
 
-from hillfield.detection.baseline import BaselineBoard
-from hillfield.detection.board import HealthBoard
+from hillfield.detection.baseline import BaselineDetector
 from hillfield.detection.evidence import Evidence, Symptom
+from hillfield.detection.healthdetector import HealthDetector
 from hillfield.model import (
     Address,
     Locality,
@@ -26,7 +26,7 @@
 from hillfield.routing.requests import Answered, Arrival, Broken, Done, Wait
 
 HERE = Locality('north', 'a', 'h1')
-KINDS = ((HealthBoard, Dispatcher), (BaselineBoard, BaselineDispatcher))
+KINDS = ((HealthDetector, Dispatcher), (BaselineDetector, BaselineDispatcher))
 
 
 def make_arrival(name: str, idempotent: bool = True) -> Arrival:
@@ -46,11 +46,11 @@
     )
 
 
-def make_table(detector: Any = HealthBoard, kind: Any = Dispatcher) -> Any:
+def make_table(detector: Any = HealthDetector, kind: Any = Dispatcher) -> Any:
     return DispatcherTable(HERE, detector, Random(1), kind)
 
 
-class RecordingDetector(HealthBoard):
+class RecordingDetector(HealthDetector):
     """Record the evidence received from other nodes."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
@@ -85,7 +85,7 @@
     table.adopt_targets(0, 'claims', make_targets(2))
     found = table.for_service('claims')
     send = found.admit(0, make_arrival('a', idempotent=False))
-    found.note_written(0, send.attempt)
+    found.record_written(0, send.attempt)
     decision = found.finish(0.1, send.attempt, Broken('reset'))
     assert decision.failure.outcome is Outcome.UNKNOWN
 
@@ -109,7 +109,7 @@
     table = make_table(RecordingDetector)
     failing = make_targets(1)[0].id
     piece = Evidence(failing, Symptom.BROKEN, 50, 50, 1)
-    detector = table.for_service('claims').board
+    detector = table.for_service('claims').detector
     table.for_service('other')
     table.adopt_evidence(1, 'n1', 'b', (piece,))
     table.adopt_evidence(2, 'n2', 'b', ())
@@ -117,7 +117,7 @@
     table.adopt_evidence(4, 'n1', 'b', ())
     received = [(1, 'n1', (piece,)), (3, 'n1', ())]
     assert detector.received == received
-    assert table.for_service('other').board.received == []
+    assert table.for_service('other').detector.received == []
 
 
 def test_connection_limits_are_shared_by_all_nodes_also_in_a_partition():
@@ -133,7 +133,7 @@
     assert table.explain(8000, 'claims').loads[0].limit == 8
 
 
-class CountingDetector(HealthBoard):
+class CountingDetector(HealthDetector):
     """Count ticks."""
 
     def __init__(self, policy: ServicePolicy, locality: Locality) -> None:
@@ -148,7 +148,7 @@
 def test_quiet_services_are_ticked_once_a_second():
     """Ticking 260 idle services at each tick took 2% of a core."""
     table = make_table(CountingDetector)
-    detector = table.for_service('claims').board
+    detector = table.for_service('claims').detector
     for number in range(1000):
         table.tick(number / 10)
     assert 300 <= detector.ticks <= 400
@@ -176,6 +176,6 @@
     send = found.admit(0, make_arrival('a'))
     for number in range(1000):
         table.tick(number / 10)
-    assert found.board.ticks == 1000
+    assert found.detector.ticks == 1000
     found.finish(100, send.attempt, Answered(200))
     assert found.is_idle()
--- a/hillfield/routing/tests/test_waiting.py
+++ b/hillfield/routing/tests/test_waiting.py
@@ -6,8 +6,8 @@
 from msgspec.structs import replace
 from pytest import fixture
 
-from hillfield.detection.paths import PathBoard
-from hillfield.hostroutes.allowances import make_policy
+from hillfield.detection.pathdetector import PathDetector
+from hillfield.hostroutes.node_policy import make_policy
 from hillfield.model import (
     Address,
     Locality,
@@ -33,7 +33,7 @@
 def overloaded():
     """Return a dispatcher without free slots, and its running requests."""
     plain = ServicePolicy('s')
-    detector = PathBoard(plain, HERE)
+    detector = PathDetector(plain, HERE)
     dispatcher = Dispatcher(plain, HERE, detector, Random(1))
     dispatcher.adopt_policy(0, make_policy(0.2, 0.7))
     identity = TargetId('s', Address('10.0.0.1', 80), 1)
@@ -41,7 +41,7 @@
     for step in range(20):
         plan, seconds = (CALL, 0.1) if step % 2 else (LONG, 0.5)
         sent: Any = send(dispatcher, f'l{step}', step, plan)
-        dispatcher.note_written(step, sent.attempt)
+        dispatcher.record_written(step, sent.attempt)
         dispatcher.finish(step + seconds, sent.attempt, Answered(200))
     return dispatcher, [send(dispatcher, name, OVERLOAD_START) for name in 'xy']
 
@@ -56,7 +56,7 @@
     dispatcher, running = overloaded
     assert isinstance(send(dispatcher, 'long', OVERLOAD_START), Wait)
     assert isinstance(send(dispatcher, 'call', OVERLOAD_START, CALL), Wait)
-    dispatcher.note_written(OVERLOAD_START, running[0].attempt)
+    dispatcher.record_written(OVERLOAD_START, running[0].attempt)
     dispatcher.finish(OVERLOAD_START + 0.1, running[0].attempt, Answered(200))
     served = dispatcher.poll(OVERLOAD_START + 0.1)
     assert [decision.request for decision in served] == ['call']
@@ -78,7 +78,7 @@
     dispatcher, running = overloaded
     send(dispatcher, 'call', OVERLOAD_START, CALL)
     assert not dispatcher.poll(OVERLOAD_START + 1)
-    dispatcher.note_written(OVERLOAD_START, running[0].attempt)
+    dispatcher.record_written(OVERLOAD_START, running[0].attempt)
     dispatcher.finish(OVERLOAD_START + 1, running[0].attempt, Answered(200))
     assert isinstance(dispatcher.poll(OVERLOAD_START + 1)[0], Send)
 
@@ -96,7 +96,7 @@
         waits = send(dispatcher, f'usual{number}', OVERLOAD_START, usual)
         assert isinstance(waits, Wait)
     assert isinstance(send(dispatcher, 'urgent', OVERLOAD_START, urgent), Wait)
-    dispatcher.note_written(OVERLOAD_START, running[0].attempt)
+    dispatcher.record_written(OVERLOAD_START, running[0].attempt)
     dispatcher.finish(OVERLOAD_START + 0.1, running[0].attempt, Answered(200))
     served = dispatcher.poll(OVERLOAD_START + 0.1)
     assert [decision.request for decision in served] == ['urgent']
@@ -115,13 +115,13 @@
 def test_without_an_aim_other_routes_do_not_refuse_a_request(overloaded):
     dispatcher, running = overloaded
     for busy in running:
-        dispatcher.note_written(OVERLOAD_START, busy.attempt)
+        dispatcher.record_written(OVERLOAD_START, busy.attempt)
         dispatcher.finish(OVERLOAD_START + 1, busy.attempt, Answered(200))
     for number in range(20):
         plan, seconds = (LONG, 1) if number % 4 else (CHECK, 0.01)
         moment = OVERLOAD_START + 2 * number + 2
         sent = send(dispatcher, f'c{number}', moment, plan)
-        dispatcher.note_written(moment, sent.attempt)
+        dispatcher.record_written(moment, sent.attempt)
         dispatcher.finish(moment + seconds, sent.attempt, Answered(200))
     later = OVERLOAD_START + 50
     taken = [send(dispatcher, name, later) for name in 'pq']
--- a/hillfield/routing/urgency.py
+++ b/hillfield/routing/urgency.py
@@ -33,8 +33,14 @@
     declined = len(record.declined_by)
     if declined < QUARANTINED_DECLINES:
         allow_suspected |= declined >= SUSPECTED_DECLINES
-        return Urgency.SETTLES if allow_suspected else Urgency.CHOOSY
+        return (
+            Urgency.ALLOW_SUSPECTED if allow_suspected else Urgency.HEALTHY_ONLY
+        )
     waited = record.compute_elapsed(now)
     if waited >= ANY_SECONDS:
-        return Urgency.PRESSES
-    return Urgency.INSISTS if waited >= QUARANTINED_SECONDS else Urgency.SETTLES
+        return Urgency.ALLOW_ANY
+    return (
+        Urgency.ALLOW_QUARANTINED
+        if waited >= QUARANTINED_SECONDS
+        else Urgency.ALLOW_SUSPECTED
+    )
--- a/hillfield/store/lease_clock.py
+++ b/hillfield/store/lease_clock.py
@@ -13,7 +13,7 @@
 
 from msgspec import Struct
 
-from hillfield.charts import Refusal, read_chart
+from hillfield.charts import MissingTransition, read_chart
 
 
 class LeaseState(StrEnum):
@@ -118,7 +118,7 @@
 
     def _follow(self, trigger: LeaseTrigger) -> LeaseAction:
         step = CHART.follow(self.state, trigger)
-        if isinstance(step, Refusal):
+        if isinstance(step, MissingTransition):
             return LeaseAction.NONE
         self.state = step.state
         return step.action
--- a/hillfield/store/retries.py
+++ b/hillfield/store/retries.py
@@ -11,7 +11,7 @@
 
 from msgspec import Struct
 
-from hillfield.charts import Refusal, read_chart
+from hillfield.charts import MissingTransition, read_chart
 
 
 class CircuitState(StrEnum):
@@ -99,7 +99,7 @@
 
     def _follow(self, trigger: CircuitTrigger) -> None:
         step = CHART.follow(self.state, trigger)
-        if not isinstance(step, Refusal):
+        if not isinstance(step, MissingTransition):
             self.state = step.state
 
 
--- a/hillfield/timers/__init__.py
+++ b/hillfield/timers/__init__.py
@@ -1,13 +1,21 @@
 """A shared timer for the periodic and delayed work of an event loop."""
 
-from hillfield.timers.pendingreads import run_when_read, wait_until_read
-from hillfield.timers.shared import STEP, Appointment, SharedTimer, find_timer
+from hillfield.timers.pendingreads import (
+    run_after_pending_reads,
+    wait_for_pending_reads,
+)
+from hillfield.timers.shared import (
+    STEP_SECONDS,
+    ScheduledCall,
+    SharedTimer,
+    get_shared_timer,
+)
 
 __all__ = (
-    'STEP',
-    'Appointment',
+    'STEP_SECONDS',
+    'ScheduledCall',
     'SharedTimer',
-    'find_timer',
-    'run_when_read',
-    'wait_until_read',
+    'get_shared_timer',
+    'run_after_pending_reads',
+    'wait_for_pending_reads',
 )
--- a/hillfield/timers/pendingreads.py
+++ b/hillfield/timers/pendingreads.py
@@ -14,12 +14,12 @@
 LOOP_PASSES: Final = 6
 
 
-def run_when_read(work: Callable[[], None]) -> None:
+def run_after_pending_reads(work: Callable[[], None]) -> None:
     """Run work once the data that has arrived by now has been read."""
     _run_after_passes(LOOP_PASSES, work)
 
 
-async def wait_until_read() -> None:
+async def wait_for_pending_reads() -> None:
     """Return once the data that has arrived by now has been read."""
     for _ in range(LOOP_PASSES):
         await sleep(0)  # noqa: WPS476 one pass of the loop at a time
--- a/hillfield/timers/shared.py
+++ b/hillfield/timers/shared.py
@@ -19,14 +19,14 @@
 from weakref import ReferenceType, WeakValueDictionary, ref
 
 # Seconds between two steps, the shortest period of periodic work.
-STEP: Final = 0.1
+STEP_SECONDS: Final = 0.1
 # Part of a step by which a due time may be past it, for rounding errors.
 STEP_TOLERANCE: Final = 0.01
 
 Work = Callable[[], None]
 
 
-class Appointment:
+class ScheduledCall:
     """Hold work that is due at a step; `period` is in steps (0: once)."""
 
     __slots__ = ('_work', 'period')
@@ -58,7 +58,7 @@
         """Count steps from now."""
         self._loop_reference = ref(loop)
         self._started = loop.time()
-        self._queue: list[tuple[int, int, Appointment]] = []
+        self._queue: list[tuple[int, int, ScheduledCall]] = []
         self._sequence = 0
         # Weak: the loop holds the handle, which holds this timer, so that both
         # are freed with the loop.
@@ -69,20 +69,20 @@
         """Return whether this is the timer of that loop."""
         return self._loop_reference() is loop
 
-    def every(self, seconds: float, work: Work) -> Appointment:
+    def every(self, seconds: float, work: Work) -> ScheduledCall:
         """Run work periodically, first after one period."""
-        period = max(1, round(seconds / STEP))
+        period = max(1, round(seconds / STEP_SECONDS))
         return self._add(
-            self._count_steps() + period, Appointment(work, period)
+            self._count_steps() + period, ScheduledCall(work, period)
         )
 
-    def after(self, seconds: float, work: Work) -> Appointment:
+    def after(self, seconds: float, work: Work) -> ScheduledCall:
         """Run work once, at the first step that is not earlier."""
         passed = get_running_loop().time() - self._started
-        due = (passed + seconds) / STEP
-        return self._add(ceil(due - STEP_TOLERANCE), Appointment(work))
+        due = (passed + seconds) / STEP_SECONDS
+        return self._add(ceil(due - STEP_TOLERANCE), ScheduledCall(work))
 
-    async def pause(self, seconds: float) -> None:
+    async def sleep(self, seconds: float) -> None:
         """Return at the first step that is not earlier."""
         ended = get_running_loop().create_future()
         self.after(seconds, partial(_resolve, ended))
@@ -90,9 +90,9 @@
 
     def _count_steps(self) -> int:
         passed = get_running_loop().time() - self._started
-        return floor(passed / STEP + STEP_TOLERANCE)
+        return floor(passed / STEP_SECONDS + STEP_TOLERANCE)
 
-    def _add(self, step: int, scheduled: Appointment) -> Appointment:
+    def _add(self, step: int, scheduled: ScheduledCall) -> ScheduledCall:
         self._sequence += 1
         heappush(self._queue, (step, self._sequence, scheduled))
         if self._timer_handle is None or step < self._next_step:
@@ -106,13 +106,13 @@
         if timer_handle is not None:
             timer_handle.cancel()
         self._next_step = self._queue[0][0]
-        due = self._started + self._next_step * STEP
+        due = self._started + self._next_step * STEP_SECONDS
         self._timer_handle = ref(get_running_loop().call_at(due, self._run_due))
 
     def _run_due(self) -> None:
         self._timer_handle = None
         now = self._count_steps()
-        due: list[Appointment] = []
+        due: list[ScheduledCall] = []
         while self._queue and self._queue[0][0] <= now:
             due.append(heappop(self._queue)[-1])
         for scheduled in due:
@@ -123,7 +123,7 @@
         if self._queue and self._timer_handle is None:
             self._set_timer()
 
-    def _run_call(self, scheduled: Appointment) -> None:
+    def _run_call(self, scheduled: ScheduledCall) -> None:
         try:
             scheduled.run()
         except Exception as error:
@@ -137,7 +137,7 @@
 _TIMERS: Final[WeakValueDictionary[int, SharedTimer]] = WeakValueDictionary()
 
 
-def find_timer() -> SharedTimer:
+def get_shared_timer() -> SharedTimer:
     """Return the timer of the running loop."""
     loop = get_running_loop()
     timer = _TIMERS.get(id(loop))
--- a/hillfield/timers/tests/test_shared.py
+++ b/hillfield/timers/tests/test_shared.py
@@ -7,8 +7,8 @@
 
 from pytest import approx
 
-from hillfield.timers import find_timer
-from hillfield.timers.shared import STEP
+from hillfield.timers import get_shared_timer
+from hillfield.timers.shared import STEP_SECONDS
 
 
 class CountingLoop(asyncio.SelectorEventLoop):
@@ -45,11 +45,11 @@
     runs = []
 
     async def scenario():
-        timer = find_timer()
-        periodic = timer.every(STEP, lambda: runs.append(1))
-        await timer.pause(3.5 * STEP)
+        timer = get_shared_timer()
+        periodic = timer.every(STEP_SECONDS, lambda: runs.append(1))
+        await timer.sleep(3.5 * STEP_SECONDS)
         periodic.cancel()
-        await asyncio.sleep(2 * STEP)
+        await asyncio.sleep(2 * STEP_SECONDS)
 
     run(scenario)
     assert 3 <= len(runs) <= 4
@@ -57,11 +57,11 @@
 
 def test_work_due_in_one_step_takes_one_timer():
     async def scenario():
-        timer = find_timer()
+        timer = get_shared_timer()
         for _ in range(50):
-            timer.after(0.7 * STEP, do_nothing)
-            timer.every(STEP, do_nothing)
-        await timer.pause(2.5 * STEP)
+            timer.after(0.7 * STEP_SECONDS, do_nothing)
+            timer.every(STEP_SECONDS, do_nothing)
+        await timer.sleep(2.5 * STEP_SECONDS)
 
     assert run(scenario).timers <= 6
 
@@ -72,9 +72,9 @@
     async def scenario():
         loop = asyncio.get_running_loop()
         started = loop.time()
-        timer = find_timer()
+        timer = get_shared_timer()
         timer.after(0.13, lambda: durations.append(loop.time() - started))
-        await timer.pause(0.4)
+        await timer.sleep(0.4)
 
     run(scenario)
     assert durations[0] == approx(0.23, abs=0.1)
@@ -87,9 +87,9 @@
     async def scenario():
         loop = asyncio.get_running_loop()
         loop.set_exception_handler(lambda _, context: errors.append(context))
-        timer = find_timer()
-        timer.every(STEP, lambda: runs.append(1 / len(errors)))
-        await timer.pause(2.5 * STEP)
+        timer = get_shared_timer()
+        timer.every(STEP_SECONDS, lambda: runs.append(1 / len(errors)))
+        await timer.sleep(2.5 * STEP_SECONDS)
 
     run(scenario)
     assert errors
@@ -98,7 +98,7 @@
 
 def test_sleep_can_be_cancelled():
     async def scenario():
-        sleeping = asyncio.create_task(find_timer().pause(60))
+        sleeping = asyncio.create_task(get_shared_timer().sleep(60))
         await asyncio.sleep(0)
         sleeping.cancel()
         await asyncio.gather(sleeping, return_exceptions=True)
@@ -112,7 +112,7 @@
     owner = WorkOwner()
 
     async def scenario():
-        find_timer().after(60, owner.work)
+        get_shared_timer().after(60, owner.work)
         await asyncio.sleep(0)
 
     asyncio.run(scenario())
--- a/scenarios/fleet.py
+++ b/scenarios/fleet.py
@@ -33,10 +33,10 @@
 from hillfield.emulator.store_server import StoreServer
 from hillfield.emulator.store_values import Lookup, Span
 from hillfield.events import ListJournal
-from hillfield.fleet.slots import prefix_of
+from hillfield.fleet.slots import make_relay_prefix
 from hillfield.model import Address
-from hillfield.store.gateway import GatewayStore
 from hillfield.store import StoreSettings
+from hillfield.store.gateway import GatewayStore
 from hillfield.store.keys import find_prefix_end
 from scenarios.hosting import Apart, InLoop
 
@@ -206,7 +206,7 @@
         self.client.close()
 
     def _read_slots(self) -> set[str]:
-        prefix = prefix_of(CLUSTER).encode()
+        prefix = make_relay_prefix(CLUSTER).encode()
         wanted = Lookup(Span(prefix, find_prefix_end(prefix)))
         reading = self.store.state.core.read(wanted).ok
         payloads = [record.payload for record in reading.records]
