--- a/hillfield/experiments/calling/courses.py
+++ b/hillfield/experiments/calling/courses.py
@@ -197,7 +197,7 @@
         self._host.hops[self._key] = self
         now = self._clock.now
         if self.send.notice is not None:
-            self._host.gate.apply_forwarded_notice(now, self.send.notice)
+            self._host.gate.receive_forwarded_notice(now, self.send.notice)
         arrival = Arrival(self._key, self._plan(), self._course.expires, True)
         self.obey(self._host.gate.admit(now, arrival))
         if self._host.gate.next_due() is not None:
--- a/hillfield/fleet/store_watcher.py
+++ b/hillfield/fleet/store_watcher.py
@@ -107,7 +107,7 @@
         """Read registered addresses while no neighbour is reachable."""
         discovering = Backoff(DISCOVERY_PAUSE, DISCOVERY_PAUSE_LIMIT)
         while True:
-            await get_shared_timer().sleep(CHECK_INTERVAL)
+            await get_shared_timer().sleep_for(CHECK_INTERVAL)
             reachable = self._fleet.state.core.reachable_links()
             if discovering.is_due(monotonic(), succeeded=bool(reachable)):
                 await self._discovery.discover()
@@ -121,7 +121,7 @@
             core = self._fleet.state.core
             watches = bool(core.own.record.relay_slot)
             backoff = as_watcher if watches else as_other
-            await get_shared_timer().sleep(
+            await get_shared_timer().sleep_for(
                 WATCHER_CHECK_INTERVAL if watches else READ_CHECK_INTERVAL
             )
             now = monotonic()
@@ -158,7 +158,7 @@
                 again = find_open_slot(self._fleet.state.core)
                 if again is not None and again.slot == open_slot.slot:
                     await self._hold(open_slot.slot)
-            await get_shared_timer().sleep(CHECK_INTERVAL)
+            await get_shared_timer().sleep_for(CHECK_INTERVAL)
 
     async def _hold(self, slot: str) -> None:
         """Watch the store until a node of lower rank does so for this slot."""
@@ -169,7 +169,7 @@
         feeding = asyncio.create_task(self._feed.run())
         try:  # noqa: WPS501 -- the feed ends also when cancelled
             while not self._is_outranked(slot):
-                await get_shared_timer().sleep(CHECK_INTERVAL)
+                await get_shared_timer().sleep_for(CHECK_INTERVAL)
                 await self._reach_other_domains()
         finally:
             await _cancel(feeding)
--- a/hillfield/gate/occupancy.py
+++ b/hillfield/gate/occupancy.py
@@ -47,7 +47,7 @@
                 f'known as {serving.name}',
             )
 
-    def apply_forwarded_notice(
+    def receive_forwarded_notice(
         self, now: float, notice: IncarnationNotice
     ) -> None:
         """Apply the notice that the sender of a request has received."""
--- a/hillfield/gate/plans.py
+++ b/hillfield/gate/plans.py
@@ -45,7 +45,7 @@
             return Error(_refuse(MALFORMED, f'Hillfield-Hop: {read.error}'))
         instructions = read.ok
         if instructions.notice is not None:
-            self.gate.apply_forwarded_notice(monotonic(), instructions.notice)
+            self.gate.receive_forwarded_notice(monotonic(), instructions.notice)
         serving = self.gate.serving
         if serving is None or self.gate.closing:
             return Error(_refuse(UNAVAILABLE, 'no target is served here'))
--- a/hillfield/gate/state.py
+++ b/hillfield/gate/state.py
@@ -107,9 +107,9 @@
 
     def record_answered(self, now: float, attempt: AttemptRecord) -> None:
         """Record the duration of an answered attempt."""
-        self.latency.record(now, now - attempt.started)
+        self.latency.add_sample(now, now - attempt.started)
         duration = self.durations.find(attempt.record.arrival.plan)
-        duration.record(self.compute_warm_age(now, attempt))
+        duration.add_sample(self.compute_warm_age(now, attempt))
 
     def compute_warm_age(self, now: float, attempt: AttemptRecord) -> float:
         """Return the age of an attempt, in seconds at a warmed-up target."""
--- a/hillfield/gate/tests/test_fuzz.py
+++ b/hillfield/gate/tests/test_fuzz.py
@@ -120,10 +120,10 @@
         self.outcomes: dict[str, Any] = {}
         self.left: set[TargetId] = set()
         for place in range(PLACES):
-            self.serve(place)
+            self.start_serving(place)
         self.learn_targets()
 
-    def serve(self, place):
+    def start_serving(self, place):
         target = make_target(place, self.incarnations[place])
         self.gates[place].serve(ServedIncarnation(target, str(target.id)))
 
@@ -272,7 +272,7 @@
         """Let another incarnation replace the target."""
         self.left.add(make_target(place, self.incarnations[place]).id)
         self.incarnations[place] += 1
-        self.serve(place)
+        self.start_serving(place)
 
     @rule(seconds=st.floats(0.01, 1.2))
     def wait(self, seconds):
--- a/hillfield/gate/tests/test_limit.py
+++ b/hillfield/gate/tests/test_limit.py
@@ -223,7 +223,7 @@
 
 def test_a_new_gate_applies_a_forwarded_limit():
     gate = open_gate()
-    gate.apply_forwarded_notice(0, IncarnationNotice('i-1', 0.5))
+    gate.receive_forwarded_notice(0, IncarnationNotice('i-1', 0.5))
     decisions = [gate.admit(0, arrive(name, 0)) for name in 'abc']
     sent = [decision for decision in decisions if isinstance(decision, Send)]
     assert sent == decisions[:1]
@@ -231,19 +231,19 @@
 
 def test_an_answer_of_the_target_overrides_a_forwarded_limit():
     gate = open_gate()
-    gate.apply_forwarded_notice(0, IncarnationNotice('i-1', 0.5))
+    gate.receive_forwarded_notice(0, IncarnationNotice('i-1', 0.5))
     sent = gate.admit(0, arrive('a', 0))
     gate.record_notice(0.2, sent.attempt, TargetNotice())
     gate.finish(0.2, sent.attempt, Answered(200))
-    gate.apply_forwarded_notice(0.3, IncarnationNotice('i-1', 0.5))
+    gate.receive_forwarded_notice(0.3, IncarnationNotice('i-1', 0.5))
     decisions = [gate.admit(0.3, arrive(name, 0.3)) for name in 'bcd']
     assert all(isinstance(decision, Send) for decision in decisions)
 
 
 def test_forwarded_notices_of_another_incarnation_are_ignored():
     gate = open_gate(born=5)
-    gate.apply_forwarded_notice(0, IncarnationNotice('i-1/4', 0.5))
-    gate.apply_forwarded_notice(0, IncarnationNotice('i-0/5', leaving=True))
+    gate.receive_forwarded_notice(0, IncarnationNotice('i-1/4', 0.5))
+    gate.receive_forwarded_notice(0, IncarnationNotice('i-0/5', leaving=True))
     decisions = [gate.admit(0, arrive(name, 0)) for name in 'abcd']
     assert all(isinstance(decision, Send) for decision in decisions)
 
--- a/hillfield/node/crashes.py
+++ b/hillfield/node/crashes.py
@@ -152,7 +152,7 @@
         """Return the fingerprint of a request."""
         return self._tracker.identify(likeness)
 
-    def find_refusal(
+    def find_crash_refusal(
         self,
         fingerprint: bytes,
         *,
--- a/hillfield/node/crashstore.py
+++ b/hillfield/node/crashstore.py
@@ -137,7 +137,7 @@
     async def _wait(self, *, succeeded: bool) -> None:
         backoff = min(MAXIMUM_BACKOFF, 2 * self._interval)
         self._interval = CHECK_INTERVAL if succeeded else backoff
-        await get_shared_timer().sleep(self._interval)
+        await get_shared_timer().sleep_for(self._interval)
 
     def _record_failure(self, error: StoreError) -> None:
         self._record(f'{error.step}: {error.detail}')
--- a/hillfield/node/lateness.py
+++ b/hillfield/node/lateness.py
@@ -85,7 +85,9 @@
         )
 
 
-def discount_pause(table: DispatcherTable, now: float, seconds: float) -> None:
+def discount_target_pauses(
+    table: DispatcherTable, now: float, seconds: float
+) -> None:
     """Ignore the silence of all targets in the last `seconds`."""
     for service in table.services():
         dispatcher = table.find(service)
--- a/hillfield/node/node.py
+++ b/hillfield/node/node.py
@@ -13,7 +13,7 @@
 from hillfield.events import EventCode, Occurrence
 from hillfield.fleet import Fleet, FleetListeners, FleetSettings
 from hillfield.model import Address
-from hillfield.node.lateness import LoopWatch, discount_pause
+from hillfield.node.lateness import LoopWatch, discount_target_pauses
 from hillfield.node.page import NodePage
 from hillfield.node.parts import Parts
 from hillfield.node.reading import NodeGauges
@@ -51,7 +51,7 @@
         self.watch = LoopWatch(parts.journal, parts.metrics)
         self.watch.listeners += (
             parts.registry.discount_pause,
-            partial(discount_pause, parts.table),
+            partial(discount_target_pauses, parts.table),
         )
         ports = ControlPorts(
             registry=self.parts.registry,
--- a/hillfield/proxy/ports.py
+++ b/hillfield/proxy/ports.py
@@ -43,7 +43,7 @@
     def compute_fingerprint(self, likeness: RequestIdentity) -> bytes:
         """Return the fingerprint of a request."""
 
-    def find_refusal(
+    def find_crash_refusal(
         self,
         fingerprint: bytes,
         *,
@@ -59,7 +59,7 @@
         """Return an empty fingerprint."""
         return b''
 
-    def find_refusal(
+    def find_crash_refusal(
         self,
         fingerprint: bytes,
         *,
--- a/hillfield/proxy/running.py
+++ b/hillfield/proxy/running.py
@@ -78,7 +78,7 @@
 
     def find_refusal(self) -> RequestFailure | None:
         """Return why the request must not be sent to any target, if so."""
-        return self._context.guard.find_refusal(
+        return self._context.guard.find_crash_refusal(
             self._fingerprint,
             may_have_run=self.may_have_run or bool(self.attempts),
         )
--- a/hillfield/routing/dispatcher.py
+++ b/hillfield/routing/dispatcher.py
@@ -90,7 +90,7 @@
 
     def cancel(self, now: float, request: str) -> None:
         """Drop a queued request whose caller has disconnected."""
-        self._service.cancel(request)
+        self._service.drop(request)
 
     def poll(self, now: float) -> tuple[Decision, ...]:
         """Return decisions on queued requests; call after finish, in ticks."""
--- a/hillfield/routing/durations.py
+++ b/hillfield/routing/durations.py
@@ -45,7 +45,7 @@
     log_variance: float
     count: int = ASSUMED_COUNT
 
-    def record(self, seconds: float) -> None:
+    def add_sample(self, seconds: float) -> None:
         """Add a measured duration."""
         self.count = min(MAXIMUM_COUNT, self.count + 1)
         gain = 1 / self.count
--- a/hillfield/routing/feedback.py
+++ b/hillfield/routing/feedback.py
@@ -80,7 +80,7 @@
     """
     if classification.trigger in TIMED_TRIGGERS:
         plan = attempt.record.arrival.plan
-        service.durations.find(plan).record(now - attempt.started)
+        service.durations.find(plan).add_sample(now - attempt.started)
 
 
 def _should_pause(
--- a/hillfield/routing/loads.py
+++ b/hillfield/routing/loads.py
@@ -33,7 +33,7 @@
     deviation: float = 0
     updated: float = 0
 
-    def record(self, now: float, seconds: float) -> None:
+    def add_sample(self, now: float, seconds: float) -> None:
         """Add a measured latency."""
         if self.mean:
             difference = seconds - self.mean
--- a/hillfield/routing/recovery.py
+++ b/hillfield/routing/recovery.py
@@ -40,7 +40,7 @@
 
 # Mean latencies for which the last attempt after a shed waits for a freed slot.
 FREED_SLOT_WAIT: Final = 2.0
-MAY_HAVE_RUN: Final = frozenset(
+UNCERTAIN_ACTIONS: Final = frozenset(
     (AttemptAction.MAY_HAVE_RUN, AttemptAction.ABANDON)
 )
 
@@ -63,7 +63,7 @@
     )
     if record.has_ended():
         return Done(record.arrival.request)
-    if action in MAY_HAVE_RUN:
+    if action in UNCERTAIN_ACTIONS:
         record.follow(RequestTrigger.MAY_HAVE_RUN)
     if action is AttemptAction.SETTLE:
         return _settle(service, record, classification)
--- a/hillfield/routing/selection.py
+++ b/hillfield/routing/selection.py
@@ -142,9 +142,9 @@
         if failed:
             seconds = max(seconds, FAILURE_FACTOR * self.latency.mean)
         else:
-            self.latency.record(now, seconds)
+            self.latency.add_sample(now, seconds)
             self._freed = load
-        load.latency.record(now, seconds)
+        load.latency.add_sample(now, seconds)
 
     def pause(self, now: float, target: TargetId) -> None:
         """Pause a target that shed or timed out, and shrink its window.
--- a/hillfield/routing/service.py
+++ b/hillfield/routing/service.py
@@ -149,7 +149,7 @@
             notice=self.notices.find(now, target.id.address),
         )
 
-    def cancel(self, request: str) -> None:
+    def drop(self, request: str) -> None:
         """Drop a waiting request or a refusal that no poll has returned."""
         self.pending_refusals = [
             refusal
--- a/hillfield/routing/tests/test_durations.py
+++ b/hillfield/routing/tests/test_durations.py
@@ -23,8 +23,8 @@
     durations = RouteDurations()
     random = Random(1)
     for _ in range(50):
-        durations.find(CALL).record(random.lognormvariate(-2.3, 0.5))
-        durations.find(LOOKUP).record(random.lognormvariate(-0.9, 0.8))
+        durations.find(CALL).add_sample(random.lognormvariate(-2.3, 0.5))
+        durations.find(LOOKUP).add_sample(random.lognormvariate(-0.9, 0.8))
     late = [durations.find(plan).share_above(0.5) for plan in (CALL, LOOKUP)]
     assert late == [approx(0, abs=0.02), approx(0.4, abs=0.12)]
 
@@ -32,16 +32,16 @@
 def test_the_estimate_follows_a_change():
     duration = RouteDurations().find(CALL)
     for _ in range(100):
-        duration.record(0.1)
+        duration.add_sample(0.1)
     for _ in range(60):
-        duration.record(0.4)
+        duration.add_sample(0.4)
     assert duration.find_quantile(0) == approx(0.35, rel=0.15)
 
 
 def test_equal_answers_leave_the_least_spread():
     duration = RouteDurations().find(CALL)
     for _ in range(200):
-        duration.record(0.1)
+        duration.add_sample(0.1)
     assert duration.share_above(0.11) == approx(0.37, abs=0.05)
 
 
--- a/hillfield/timers/shared.py
+++ b/hillfield/timers/shared.py
@@ -82,7 +82,7 @@
         due = (passed + seconds) / STEP_SECONDS
         return self._add(ceil(due - STEP_TOLERANCE), ScheduledCall(work))
 
-    async def sleep(self, seconds: float) -> None:
+    async def sleep_for(self, seconds: float) -> None:
         """Return at the first step that is not earlier."""
         ended = get_running_loop().create_future()
         self.after(seconds, partial(_resolve, ended))
--- a/hillfield/timers/tests/test_shared.py
+++ b/hillfield/timers/tests/test_shared.py
@@ -47,7 +47,7 @@
     async def scenario():
         timer = get_shared_timer()
         periodic = timer.every(STEP_SECONDS, lambda: runs.append(1))
-        await timer.sleep(3.5 * STEP_SECONDS)
+        await timer.sleep_for(3.5 * STEP_SECONDS)
         periodic.cancel()
         await asyncio.sleep(2 * STEP_SECONDS)
 
@@ -61,7 +61,7 @@
         for _ in range(50):
             timer.after(0.7 * STEP_SECONDS, do_nothing)
             timer.every(STEP_SECONDS, do_nothing)
-        await timer.sleep(2.5 * STEP_SECONDS)
+        await timer.sleep_for(2.5 * STEP_SECONDS)
 
     assert run(scenario).timers <= 6
 
@@ -74,7 +74,7 @@
         started = loop.time()
         timer = get_shared_timer()
         timer.after(0.13, lambda: durations.append(loop.time() - started))
-        await timer.sleep(0.4)
+        await timer.sleep_for(0.4)
 
     run(scenario)
     assert durations[0] == approx(0.23, abs=0.1)
@@ -89,7 +89,7 @@
         loop.set_exception_handler(lambda _, context: errors.append(context))
         timer = get_shared_timer()
         timer.every(STEP_SECONDS, lambda: runs.append(1 / len(errors)))
-        await timer.sleep(2.5 * STEP_SECONDS)
+        await timer.sleep_for(2.5 * STEP_SECONDS)
 
     run(scenario)
     assert errors
@@ -98,7 +98,7 @@
 
 def test_sleep_can_be_cancelled():
     async def scenario():
-        sleeping = asyncio.create_task(get_shared_timer().sleep(60))
+        sleeping = asyncio.create_task(get_shared_timer().sleep_for(60))
         await asyncio.sleep(0)
         sleeping.cancel()
         await asyncio.gather(sleeping, return_exceptions=True)
