--- a/hillfield/gate/notes.py
+++ b/hillfield/gate/attempts.py
@@ -25,7 +25,7 @@
 ServedListener = Callable[[bytes], None]
 
 
-class GateNotes:
+class AttemptRecorder:
     """Record attempts at the target, and report its free capacity."""
 
     def __init__(self, state: GateState) -> None:
--- a/hillfield/gate/gate.py
+++ b/hillfield/gate/gate.py
@@ -12,8 +12,8 @@
 from hillfield.gate.calls import FailedCalls
 from hillfield.gate.completion import finish
 from hillfield.gate.notices import record_limit_counts
-from hillfield.gate.occupancy import GateSeat
 from hillfield.gate.results import is_success
+from hillfield.gate.serving import IncarnationServing
 from hillfield.gate.state import GateState
 from hillfield.gate.suspicion import check_running
 from hillfield.model import RequestPlan
@@ -30,7 +30,7 @@
 GateListener = Callable[[float], None]
 
 
-class Gate(GateSeat):
+class Gate(IncarnationServing):
     """Implement `Dispatching` and `Dispatchers` for the target of this host."""
 
     def __init__(self, journal: Journal) -> None:
--- a/hillfield/gate/occupancy.py
+++ b/hillfield/gate/serving.py
@@ -1,16 +1,16 @@
 """The incarnation of its target that a gate serves."""
 
 from hillfield.events import EventCode
+from hillfield.gate.attempts import AttemptRecorder
 from hillfield.gate.health import HealthScore
 from hillfield.gate.limit import RateLimit
-from hillfield.gate.notes import GateNotes
 from hillfield.gate.notices import apply_forwarded_notice
 from hillfield.gate.served import ServedIncarnation
 from hillfield.model import IncarnationNotice, TargetState
 from hillfield.routing.loads import Latency
 
 
-class GateSeat(GateNotes):
+class IncarnationServing(AttemptRecorder):
     """Serve incarnations of the target, each with fresh health and limit."""
 
     @property
--- a/hillfield/node/crashexchange.py
+++ b/hillfield/node/crashexchange.py
@@ -44,19 +44,19 @@
         address: Address,
         key: bytes,
         random: Random,
-        book: CrashTracker,
+        tracker: CrashTracker,
     ) -> None:
         """Prepare; nothing is opened before `start`."""
         self.socket = DatagramSocket(address, self._receive)
-        self.tracker = book
-        self.at_callers = CallerGuard(book)
-        self.at_gate = GateGuard(book)
+        self.tracker = tracker
+        self.at_callers = CallerGuard(tracker)
+        self.at_gate = GateGuard(tracker)
         self._codec = CrashCodec(key)
         self._random = random
         self._ticking: ScheduledCall | None = None
         self._to_repeat: list[Findings] = []
         self._inquiry_timer = ComparisonTimer()
-        book.on_findings = self._broadcast
+        tracker.on_findings = self._broadcast
 
     def start(self) -> None:
         """Open the socket; raises `OSError` if it can't be bound."""
@@ -101,12 +101,12 @@
         return True
 
     def _receive(self, datagram: bytes, ip: str) -> None:
-        ledger = self.tracker.registry
+        registry = self.tracker.registry
         match self._codec.open(datagram):
             case Findings() as findings:
                 self.tracker.merge(monotonic(), findings)
-            case Inquiry(root=root) if root != ledger.compute_root():
-                self._send(Comparison(ledger.list_digests()), [ip])
+            case Inquiry(root=root) if root != registry.compute_root():
+                self._send(Comparison(registry.list_digests()), [ip])
             case Comparison() as comparison:
                 self._send_differences(comparison, ip)
 
--- a/hillfield/node/probing.py
+++ b/hillfield/node/probing.py
@@ -83,14 +83,14 @@
         dispatcher = self._parts.table.find(service)
         if dispatcher is None:
             return
-        board = dispatcher.detector
+        detector = dispatcher.detector
         now = monotonic()
-        target = self._order.choose(now, board.explain(now))
+        target = self._order.choose(now, detector.explain(now))
         if target is None:
             return
         healthy = await self._fetch(target.address, policy.probe_path)
         ended = monotonic()
-        board.observe_probe(ended, target, healthy, ended - now)
+        detector.observe_probe(ended, target, healthy, ended - now)
 
     async def _fetch(self, address: Address, path: str) -> bool:
         request = HTTPRequest(
--- a/hillfield/proxy/keepalives.py
+++ b/hillfield/proxy/keepalives.py
@@ -88,7 +88,7 @@
         resources.dispatching.record_silence(monotonic(), attempt.send.attempt)
     repeatable = planned.plan.idempotent and not planned.body.streamed
     if incomplete or repeatable:
-        attempt.end(Broken('no sign of life'))
+        attempt.end(Broken('no keepalive arrived in time'))
         attempt.abort()
 
 
