--- a/hillfield/gate/health.py
+++ b/hillfield/gate/health.py
@@ -33,8 +33,7 @@
     NO_EVIDENCE = 'silent'
 
 
-# Share of requests that fail at an unhealthy target: 45 to 85 in 100 were
-# measured.
+# Share of requests that fail at an unhealthy target, which is 45 to 85 in 100.
 UNHEALTHY_FAILURE_RATE: Final = 0.6
 # Shares of requests that fail at a healthy target: some 2 in 100 answers are
 # errors, mostly of calls that the target made; broken connections are far
--- a/hillfield/hostroutes/node_policy.py
+++ b/hillfield/hostroutes/node_policy.py
@@ -8,11 +8,11 @@
 # calls that a repeated request makes in turn, which count as repeats too.
 RETRY_BUDGET_SHARE: Final = 0.8
 # Token bucket of one node's repeats, shared by retries and hedges: its size and
-# the tokens added per second. The fleet's repeats are limited per 10 s to 60
-# and a fifth of its requests (as configured: 56 with 21 hosts, 64 with
-# 31, 204 with 99). If all requests of 30 nodes hang, each node sends three
-# repeats in 10 s, and none once the gates withhold work. In a model, a service
-# gets at most 81 repeats in 10 s while targets hang.
+# the tokens added per second. Per 10 s a fleet of 30 hosts may send about 60
+# repeats and a fifth of its requests (56 with 21 hosts, 64 with 31, 204 with
+# 99). If all requests of 30 nodes hang, each node sends three repeats in 10 s,
+# and none once the gates withhold work. In a model, a service gets at most 81
+# repeats in 10 s while targets hang.
 RETRY_BURST: Final = 2.0
 RETRY_RATE: Final = 0.1
 # Seconds of answered requests for which repeats are saved on top: none, since
